--- a/currantwall/coordination/requests/__init__.py
+++ b/currantwall/coordination/requests/__init__.py
@@ -1,7 +1,8 @@
-"""What happens to a request: who takes it, who waits, what is repeated.
+"""Request handling: routing, admission control, retries, at-most-once.
 
-In come requests, what upstreams answer and what other nodes have in work;
-out come choices, refusals with a time to come back, and repeats. For a
-gateway start with `placing` and `balancing`, for an entry of the product's
-own interface with `admission`, `routing` and `homes`.
+The modules take requests, the answers of upstreams and the attempts in
+progress at other nodes, and return routing decisions, refusals with the
+time to wait before a retry, and retries. For a gateway start reading with
+`placing` and `balancing`, for an entry of the product's own interface
+with `admission`, `routing` and `homes`.
 """
--- a/currantwall/coordination/requests/retries.py
+++ b/currantwall/coordination/requests/retries.py
@@ -1,9 +1,10 @@
-"""Whether a failed attempt is tried again.
+"""Whether a failed attempt is retried.
 
-Only what has not run, or may be repeated, is retried; never into an
-upstream that refuses for load, never past the deadline, and only while
-retries stay a small share of the requests: without that bound an outage
-doubles the load just when it can be borne least.
+An attempt is retried only if the request has not run or may be repeated,
+never at an upstream that refuses because of its load, and never past the
+deadline. A retry budget keeps the retries a small share of the requests:
+without that bound an outage doubles the load when the upstreams can bear
+it least.
 """
 
 import enum
@@ -12,19 +13,20 @@
 
 __all__ = ["AttemptFailure", "Retries", "RetryDecision"]
 
-# Retries that may be spent before any request has earned them.
+# Retries available before any request has added to the budget.
 _INITIAL_TOKENS = 5.0
-_TOKENS_LIMIT = 50.0
-_FIRST_WAIT = 0.02
-_LONGEST_WAIT = 0.5
+_MAX_TOKENS = 50.0
+_INITIAL_BACKOFF_SECONDS = 0.02
+_MAX_BACKOFF_SECONDS = 0.5
 
 
 class RetryDecision(enum.Enum):
     """What to do after a failed attempt."""
 
     RETRY = "retry"
-    # It may have run and may not be repeated.
+    # It may have run and may not be repeated, or has been answered partly.
     UNSAFE = "unsafe"
+    # The limit of attempts for one request is reached.
     EXHAUSTED = "exhausted"
     NO_BUDGET = "no_budget"
     DEADLINE = "deadline"
@@ -34,11 +36,11 @@
     """How an attempt failed.
 
     Attributes:
-        attempts: Attempts made so far, this one included.
-        may_have_run: Whether the upstream may have acted on it.
+        attempts: Attempts made so far, including this one.
+        may_have_run: Whether the upstream may have run the request.
         idempotent: Whether the request may be repeated.
         started: Whether the caller has received a part of the answer.
-        deadline: When the answer is of no use any more.
+        deadline: Time after which the answer is useless.
     """
 
     attempts: int
@@ -49,24 +51,30 @@
 
 
 class Retries:
-    """The retry budget of one process."""
+    """Decides on retries within the retry budget of one process."""
 
     def __init__(self, share: float, attempts: int) -> None:
+        """Set the limits; the budget holds the initial tokens.
+
+        Args:
+            share: Retries that each new request adds to the budget.
+            attempts: Attempts allowed for one request.
+        """
         self._share = share
-        self._attempts = attempts
+        self._max_attempts = attempts
         self._tokens = _INITIAL_TOKENS
 
     def earn(self) -> None:
-        """Note a new request: it earns its share of a retry."""
-        self._tokens = min(_TOKENS_LIMIT, self._tokens + self._share)
+        """Add the share of one new request to the budget."""
+        self._tokens = min(_MAX_TOKENS, self._tokens + self._share)
 
     def decide(self, failure: AttemptFailure, now: float) -> RetryDecision:
-        """Return whether to try again; a retry is paid for at once."""
+        """Return whether to retry; a retry is taken from the budget."""
         if failure.started:
             return RetryDecision.UNSAFE
         if failure.may_have_run and not failure.idempotent:
             return RetryDecision.UNSAFE
-        if failure.attempts >= self._attempts:
+        if failure.attempts >= self._max_attempts:
             return RetryDecision.EXHAUSTED
         if now + wait_before(failure.attempts) >= failure.deadline:
             return RetryDecision.DEADLINE
@@ -77,5 +85,11 @@
 
 
 def wait_before(attempts: int) -> float:
-    """Return the seconds to wait before the next attempt."""
-    return min(_LONGEST_WAIT, _FIRST_WAIT * 2 ** (attempts - 1))
+    """Return the seconds to wait before the next attempt.
+
+    Args:
+        attempts: Attempts made so far.
+    """
+    return min(
+        _MAX_BACKOFF_SECONDS, _INITIAL_BACKOFF_SECONDS * 2 ** (attempts - 1)
+    )
