--- a/currantwall/coordination/requests/homes.py
+++ b/currantwall/coordination/requests/homes.py
@@ -1,14 +1,14 @@
-"""At most once: each non-idempotent key has one home.
+"""At-most-once execution: each non-idempotent key has one home.
 
 The home is one incarnation of one entry process. Only it may dispatch
-the key, it dispatches it once, and it keeps the key's state and answer
-in memory. A key issued by the system names its home; a caller's own key
-is bound to one by a create-if-absent of ``claims/<hash>``. A home that
-is gone means "outcome unknown" for a key it may have dispatched, never a
-second run.
-
-Keys of a period that has passed are forgotten, and a retry that comes
-later is refused as unknown: forgetting never leads to a second run.
+the call of a key, and only once; it keeps the state of the key and the
+answer in memory. A key issued by the system names its home. A key chosen
+by the caller is bound to a home by a create-if-absent of
+``claims/<hash>``. If the home is gone, the outcome of a key that it may
+have dispatched is unknown, and the call is never run again.
+
+Keys of a period that has passed are removed. A later retry is refused
+with an unknown outcome, so removing a key never leads to a second run.
 """
 
 from collections import abc
@@ -40,12 +40,12 @@
     "StoredAnswer",
 ]
 
-# Seconds after which a caller shall ask again for a call under way.
-_ASK_AGAIN = 1.0
+# Retry-after for a call that is still in progress.
+_IN_PROGRESS_RETRY_SECONDS = 1.0
 
 
 class Outcome(enum.Enum):
-    """What is known of a request."""
+    """What is known about the execution of a call."""
 
     NOT_RUN = "not-run"
     DONE = "done"
@@ -53,7 +53,17 @@
 
 
 class DecisionKind(enum.Enum):
-    """What to do with an offered call."""
+    """What to do with an offered call.
+
+    Attributes:
+        DISPATCH: Run it.
+        REPLAY: Return the stored answer.
+        IN_PROGRESS: It is running; ask again later.
+        FORWARD: Pass it to its home.
+        UNKNOWN: It may have run; refuse it.
+        NOT_RUN: It has not run and is not run now; refuse it.
+        MISMATCH: The key belongs to another request; refuse it.
+    """
 
     DISPATCH = "dispatch"
     REPLAY = "replay"
@@ -65,7 +75,7 @@
 
 
 class StoredAnswer(msgspec.Struct, frozen=True):
-    """The whole answer of a call."""
+    """The complete answer of a call."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -73,7 +83,12 @@
 
 
 class Claim(msgspec.Struct, frozen=True):
-    """What ``claims/<hash>`` holds: the home of a caller's own key."""
+    """The stored object ``claims/<hash>``: the home of a caller's own key.
+
+    Attributes:
+        period: Period of the home in which the claim was made.
+        attempt: Unique identifier of the write.
+    """
 
     home: keys.Home
     period: int
@@ -81,11 +96,13 @@
 
 
 class CallOffered(part.Message, frozen=True):
-    """A caller wants a non-idempotent call run under a key.
+    """A caller requests a non-idempotent call with a key.
 
     Attributes:
-        scope: Organisation and service the key belongs to.
-        fingerprint: Hash of the request; a key stands for one request.
+        ticket: Number under which the decision is returned.
+        scope: Organisation and service to which the key belongs.
+        fingerprint: Hash of the request, to detect a key that is used
+            for different requests.
         forwarded: Whether another node passed the call to this one.
     """
 
@@ -106,12 +123,14 @@
 
 
 class Decision(msgspec.Struct, frozen=True):
-    """What to do with an offered call.
+    """The decision on an offered call.
 
     Attributes:
-        home: Where to pass it on.
-        reason: Why it is refused or unknown.
-        retry_after: Seconds after which to ask again, 0 for never.
+        home: Home to forward it to, for `FORWARD`.
+        answer: Answer to return, for `REPLAY`; None if it was too large
+            to be stored.
+        reason: Why it is refused or its outcome unknown.
+        retry_after: Seconds to wait before a retry, 0 for never.
     """
 
     kind: DecisionKind
@@ -122,21 +141,32 @@
 
 
 class _State(enum.Enum):
+    """State of a key at its home."""
+
     DISPATCHED = "dispatched"
     DONE = "done"
     UNKNOWN = "unknown"
-    # Refused before it ran; the next offer may dispatch it.
+    # Refused by the upstream before it ran; may be dispatched again.
     FREE = "free"
 
 
-class _Entry(msgspec.Struct):
+class _KeyRecord(msgspec.Struct):
+    """What the home holds of a key."""
+
     fingerprint: int
     state: _State
     answer: StoredAnswer | None = None
 
 
 class _Binding(msgspec.Struct):
-    """A caller's own key whose claim is being written or read."""
+    """A caller's own key whose claim is being written or read.
+
+    Attributes:
+        offers: Calls that wait for the claim.
+        name: Object name of the claim.
+        claim: Claim that this process writes.
+        reading: Whether the claim is being read instead of written.
+    """
 
     offers: list[CallOffered]
     name: str
@@ -151,30 +181,32 @@
         self,
         nodes: views.MembersView,
         settings: settings_module.RequestsSection,
-        numbers: calls.Calls,
+        call_ids: calls.Calls,
         started: float,
     ) -> None:
         self._nodes = nodes
         self._settings = settings
-        self._numbers = numbers
+        self._call_ids = call_ids
         self._started = started
-        self._periods: dict[int, dict[str, _Entry]] = {}
+        # Records of the keys by period and hash.
+        self._periods: dict[int, dict[str, _KeyRecord]] = {}
         self._bindings: dict[ids.CallId, _Binding] = {}
-        self._bound: dict[str, Claim] = {}
+        # Claims that name this process, by hash of the key.
+        self._claims: dict[str, Claim] = {}
         self._handover = handover.Handover(nodes)
 
     # -- Prefixes of issued keys
 
     def make_prefix(self, now: float) -> str:
-        """Return the prefix that makes this process a key's home."""
-        return keys.make_prefix(self._me, self._find_period(now))
+        """Return the prefix of keys whose home is this process."""
+        return keys.make_prefix(self._local_home, self._compute_period(now))
 
     @property
-    def _me(self) -> keys.Home:
+    def _local_home(self) -> keys.Home:
         me = self._nodes.me
         return keys.Home(me.id, me.incarnation)
 
-    def _find_period(self, now: float) -> int:
+    def _compute_period(self, now: float) -> int:
         return int((now - self._started) / self._settings.key_period)
 
     def due(self) -> float | None:
@@ -183,44 +215,44 @@
         if not self._periods:
             return resend
         oldest = min(self._periods)
-        kept = oldest + self._settings.key_periods + 1
-        over = self._started + kept * self._settings.key_period
-        return over if resend is None else min(over, resend)
+        last = oldest + self._settings.key_periods + 1
+        expiry = self._started + last * self._settings.key_period
+        return expiry if resend is None else min(expiry, resend)
 
     @part.handles(part.Tick)
     def _on_tick(self, _: part.Tick, now: float) -> list[part.Action]:
-        self._forget_old(now)
+        self._remove_expired(now)
         return self._handover.resend(now)
 
-    def _forget_old(self, now: float) -> None:
-        current = self._find_period(now)
+    def _remove_expired(self, now: float) -> None:
+        current = self._compute_period(now)
         for period in list(self._periods):
-            if self._is_over(period, current):
+            if self._is_expired(period, current):
                 del self._periods[period]
-        # A binding only saves a read; the claim itself stays stored.
-        for name, claim in list(self._bound.items()):
-            over = self._is_over(claim.period, current)
-            if claim.home == self._me and over:
-                del self._bound[name]
+        # The copy in memory only saves a read; the claim stays stored.
+        for name, claim in list(self._claims.items()):
+            expired = self._is_expired(claim.period, current)
+            if claim.home == self._local_home and expired:
+                del self._claims[name]
 
-    def _is_over(self, period: int, current: int) -> bool:
+    def _is_expired(self, period: int, current: int) -> bool:
         return period + self._settings.key_periods < current
 
     # -- Handing over at a stop
 
     def hand_over(self, now: float) -> list[part.Action]:
-        """Send all keys to a successor; nothing may be offered any more."""
+        """Send all keys to a successor; no call may be offered afterwards."""
         states = [
-            _describe_state(name, entry)
-            for entries in self._periods.values()
-            for name, entry in entries.items()
-            if entry.state is not _State.FREE
+            _make_key_state(name, record)
+            for records in self._periods.values()
+            for name, record in records.items()
+            if record.state is not _State.FREE
         ]
         return self._handover.begin(states, now)
 
     @property
     def is_handed_over(self) -> bool:
-        """Return whether the successor has everything."""
+        """Return whether the successor has all keys, or none is available."""
         return self._handover.is_done
 
     @part.handles(wire.HandOver)
@@ -245,161 +277,180 @@
     ) -> abc.Iterable[part.Action]:
         issued = keys.parse_key(offer.key)
         if issued is not None:
-            return self._offer_issued(offer, issued, now)
-        return self._offer_own(offer, now)
+            return self._handle_issued_key(offer, issued, now)
+        return self._handle_own_key(offer, now)
 
-    def _offer_issued(
+    def _handle_issued_key(
         self, offer: CallOffered, issued: keys.IssuedKey, now: float
     ) -> list[part.Action]:
-        if issued.home == self._me:
-            return [self._decide(offer, issued.period, now)]
-        return [self._pass_on(offer, issued.home)]
+        if issued.home == self._local_home:
+            return [self._decide_locally(offer, issued.period, now)]
+        return [self._forward_to_home(offer, issued.home)]
 
-    def _pass_on(self, offer: CallOffered, home: keys.Home) -> part.Action:
-        """Send a call to its home, if that can still be reached."""
+    def _forward_to_home(
+        self, offer: CallOffered, home: keys.Home
+    ) -> part.Action:
+        """Forward a call to its home if that is still a member."""
         adopted = self._handover.find(home)
         if adopted is not None:
-            return actions.Reply(offer.ticket, self._recall(offer, adopted))
+            return actions.Reply(
+                offer.ticket, self._decide_adopted(offer, adopted)
+            )
         if offer.forwarded:
-            # Two nodes that disagree must not pass it to and fro.
-            return self._answer_unknown(offer, "its home is not here")
+            # Two nodes that disagree on the home must not forward it to
+            # each other forever.
+            return self._reply_unknown(
+                offer, "the home of the key is another process"
+            )
         home = self._handover.follow(home)
         member = self._nodes.get(home.node)
         if member is None or member.incarnation > home.incarnation:
-            return self._answer_unknown(offer, "its home is gone")
+            return self._reply_unknown(offer, "the home of the key is gone")
         if not member.is_present:
-            return self._answer_unknown(offer, "its home is gone")
+            return self._reply_unknown(offer, "the home of the key is gone")
         decision = Decision(DecisionKind.FORWARD, home)
         return actions.Reply(offer.ticket, decision)
 
     @staticmethod
-    def _recall(
+    def _decide_adopted(
         offer: CallOffered, adopted: abc.Mapping[str, wire.KeyState]
     ) -> Decision:
-        """Decide on a key whose home handed everything over and ended.
+        """Decide on a key whose home has stopped and handed over here.
 
-        What it did not hand over it never dispatched.
+        A key that was not handed over has not been dispatched.
         """
-        held = adopted.get(keys.hash_key(offer.key, offer.scope))
-        if held is None:
-            reason = "its home has stopped; take a key from /v1/entries"
+        state = adopted.get(keys.hash_key(offer.key, offer.scope))
+        if state is None:
+            reason = (
+                "the home of the key has stopped; use a key from /v1/entries"
+            )
             return Decision(DecisionKind.NOT_RUN, reason=reason)
-        if held.fingerprint != offer.fingerprint:
+        if state.fingerprint != offer.fingerprint:
             reason = "the key was used for another request"
             return Decision(DecisionKind.MISMATCH, reason=reason)
-        if not held.status:
+        if not state.status:
             reason = "the upstream was lost while the call ran"
             return Decision(DecisionKind.UNKNOWN, reason=reason)
-        answer = StoredAnswer(held.status, held.headers, held.body)
+        answer = StoredAnswer(state.status, state.headers, state.body)
         return Decision(DecisionKind.REPLAY, answer=answer)
 
     @staticmethod
-    def _answer_unknown(offer: CallOffered, reason: str) -> part.Action:
+    def _reply_unknown(offer: CallOffered, reason: str) -> part.Action:
         decision = Decision(DecisionKind.UNKNOWN, reason=reason)
         return actions.Reply(offer.ticket, decision)
 
-    def _decide(
+    def _decide_locally(
         self, offer: CallOffered, period: int, now: float
     ) -> part.Action:
-        """Decide on a call whose home this process is."""
-        current = self._find_period(now)
-        if self._is_over(period, current) or period > current:
-            return self._answer_unknown(offer, "the key is too old")
-        entries = self._periods.setdefault(period, {})
+        """Decide on a call whose home is this process."""
+        current = self._compute_period(now)
+        if self._is_expired(period, current) or period > current:
+            return self._reply_unknown(offer, "the key is too old")
+        records = self._periods.setdefault(period, {})
         name = keys.hash_key(offer.key, offer.scope)
-        entry = entries.get(name)
-        if entry is None:
-            return self._start(offer, entries, name)
-        return actions.Reply(offer.ticket, _decide_again(offer, entry))
+        record = records.get(name)
+        if record is None:
+            return self._dispatch_new(offer, records, name)
+        return actions.Reply(offer.ticket, _decide_repeated(offer, record))
 
-    def _start(
-        self, offer: CallOffered, entries: dict[str, _Entry], name: str
+    def _dispatch_new(
+        self, offer: CallOffered, records: dict[str, _KeyRecord], name: str
     ) -> part.Action:
-        if self._count() >= self._settings.key_limit:
+        if self._count_keys() >= self._settings.key_limit:
             decision = Decision(
                 DecisionKind.NOT_RUN,
                 reason="this entry holds too many keys",
                 retry_after=self._settings.key_period,
             )
             return actions.Reply(offer.ticket, decision)
-        entries[name] = _Entry(offer.fingerprint, _State.DISPATCHED)
+        records[name] = _KeyRecord(offer.fingerprint, _State.DISPATCHED)
         decision = Decision(DecisionKind.DISPATCH)
         return actions.Reply(offer.ticket, decision)
 
-    def _count(self) -> int:
-        return sum(len(entries) for entries in self._periods.values())
+    def _count_keys(self) -> int:
+        return sum(len(records) for records in self._periods.values())
 
     @part.handles(CallEnded)
     def _on_end(self, ended: CallEnded, now: float) -> list[part.Action]:
         name = keys.hash_key(ended.key, ended.scope)
-        entry = self._find(name)
+        record = self._find_record(name)
         label = ended.outcome.value
         found: list[part.Action] = [actions.Count(actions.Counter.KEYS, label)]
         if ended.outcome is Outcome.UNKNOWN:
             kind = timeline.EventKind.CALL_UNKNOWN
             found.append(actions.Record(kind, ended.key))
-        if entry is None or entry.state is not _State.DISPATCHED:
+        if record is None or record.state is not _State.DISPATCHED:
             return found
         if ended.outcome is Outcome.DONE:
-            entry.state = _State.DONE
-            entry.answer = self._keep(ended.answer)
+            record.state = _State.DONE
+            record.answer = self._limit_answer(ended.answer)
         elif ended.outcome is Outcome.NOT_RUN:
-            entry.state = _State.FREE
+            record.state = _State.FREE
         else:
-            entry.state = _State.UNKNOWN
+            record.state = _State.UNKNOWN
         return found
 
-    def _keep(self, answer: StoredAnswer | None) -> StoredAnswer | None:
-        """Return an answer if it is small enough to be kept."""
+    def _limit_answer(
+        self, answer: StoredAnswer | None
+    ) -> StoredAnswer | None:
+        """Return an answer if it is small enough to be stored."""
         if answer is None or len(answer.body) > self._settings.answer_limit:
             return None
         return answer
 
-    def _find(self, name: str) -> _Entry | None:
-        for entries in self._periods.values():
-            if name in entries:
-                return entries[name]
+    def _find_record(self, name: str) -> _KeyRecord | None:
+        for records in self._periods.values():
+            if name in records:
+                return records[name]
         return None
 
-    # -- Keys that callers choose themselves
+    # -- Keys chosen by callers
 
-    def _offer_own(self, offer: CallOffered, now: float) -> list[part.Action]:
+    def _handle_own_key(
+        self, offer: CallOffered, now: float
+    ) -> list[part.Action]:
         name = keys.hash_key(offer.key, offer.scope)
-        claim = self._bound.get(name)
+        claim = self._claims.get(name)
         if claim is not None:
-            return [self._follow(offer, claim, now)]
+            return [self._handle_claimed(offer, claim, now)]
         for binding in self._bindings.values():
             if binding.name == name:
                 binding.offers.append(offer)
                 return []
         if offer.forwarded:
-            # The sender saw a claim that names this node; if it is not
-            # in memory, it was made by an earlier process here.
+            # The sender read a claim that names this node. If it is not
+            # in memory, an earlier process of this node made it.
             return self._read_claim(offer, name, now)
         return self._write_claim(offer, name, now)
 
     def _make_claim(self, now: float) -> Claim:
-        call = self._numbers.next()
-        attempt = f"{self._me.node}.{self._me.incarnation}.{call}"
-        return Claim(self._me, self._find_period(now), ids.AttemptId(attempt))
+        call = self._call_ids.next()
+        attempt = (
+            f"{self._local_home.node}.{self._local_home.incarnation}.{call}"
+        )
+        return Claim(
+            self._local_home, self._compute_period(now), ids.AttemptId(attempt)
+        )
 
     def _write_claim(
         self, offer: CallOffered, name: str, now: float
     ) -> list[part.Action]:
         claim = self._make_claim(now)
-        call = self._numbers.next()
+        call = self._call_ids.next()
         self._bindings[call] = _Binding([offer], name, claim)
         value = msgspec.json.encode(claim)
         absent = ids.Version(0)
-        return [actions.WriteObject(call, _claim_key(name), value, absent)]
+        return [
+            actions.WriteObject(call, _make_claim_key(name), value, absent)
+        ]
 
     def _read_claim(
         self, offer: CallOffered, name: str, now: float
     ) -> list[part.Action]:
-        call = self._numbers.next()
+        call = self._call_ids.next()
         claim = self._make_claim(now)
         self._bindings[call] = _Binding([offer], name, claim, True)
-        return [actions.ReadObject(call, _claim_key(name))]
+        return [actions.ReadObject(call, _make_claim_key(name))]
 
     @part.handles(messages.PlatformAnswer)
     def _on_answer(
@@ -410,36 +461,36 @@
             return []
         statuses = messages.PlatformStatus
         if not binding.reading and answer.is_ok:
-            return self._bind(binding, binding.claim, now)
+            return self._resolve_binding(binding, binding.claim, now)
         if answer.is_ok and answer.stored:
             claim = msgspec.json.decode(answer.stored[0].value, type=Claim)
-            return self._bind(binding, claim, now)
+            return self._resolve_binding(binding, claim, now)
         doubtful = answer.status in (statuses.CONFLICT, statuses.LOST)
         if doubtful and not binding.reading:
             return self._read_back(binding)
-        return self._refuse(binding)
+        return self._refuse_unresolved(binding)
 
     def _read_back(self, binding: _Binding) -> list[part.Action]:
-        """Learn whose claim it is after a conflict or a lost answer."""
+        """Read the claim after a conflict or a lost answer."""
         binding.reading = True
-        call = self._numbers.next()
+        call = self._call_ids.next()
         self._bindings[call] = binding
-        return [actions.ReadObject(call, _claim_key(binding.name))]
+        return [actions.ReadObject(call, _make_claim_key(binding.name))]
 
-    def _refuse(self, binding: _Binding) -> list[part.Action]:
-        """Say that nobody can tell now; nothing is dispatched.
+    def _refuse_unresolved(self, binding: _Binding) -> list[part.Action]:
+        """Reply that the outcome is unknown; nothing is dispatched.
 
-        Failure: a call ran under this key at its home, the answer was
-        lost, and the retry comes here while the platform is down.
+        Failure: a call with this key ran at its home, the answer was
+        lost, and the retry arrives here while the platform is down.
         "Not run" would be true of the retry only, and the caller would
-        order again under another key. The same key may be tried again.
+        repeat the call with another key. It may retry with this key.
         """
         decision = Decision(
             DecisionKind.UNKNOWN,
             reason=(
-                "nothing was run now, but the key's home cannot be looked"
-                " up while the platform does not answer; try the same key"
-                " again, or use keys with the prefix from /v1/entries"
+                "nothing was run now, but the home of the key cannot be"
+                " looked up while the platform does not answer; retry with"
+                " the same key, or use keys with the prefix from /v1/entries"
             ),
             retry_after=self._settings.entries_ttl,
         )
@@ -447,47 +498,51 @@
             actions.Reply(offer.ticket, decision) for offer in binding.offers
         ]
 
-    def _bind(
+    def _resolve_binding(
         self, binding: _Binding, claim: Claim, now: float
     ) -> list[part.Action]:
-        if claim.home == self._me:
-            self._bound[binding.name] = claim
-        return [self._follow(offer, claim, now) for offer in binding.offers]
+        if claim.home == self._local_home:
+            self._claims[binding.name] = claim
+        return [
+            self._handle_claimed(offer, claim, now) for offer in binding.offers
+        ]
 
-    def _follow(
+    def _handle_claimed(
         self, offer: CallOffered, claim: Claim, now: float
     ) -> part.Action:
-        if claim.home == self._me:
-            return self._decide(offer, claim.period, now)
-        return self._pass_on(offer, claim.home)
+        if claim.home == self._local_home:
+            return self._decide_locally(offer, claim.period, now)
+        return self._forward_to_home(offer, claim.home)
 
 
-def _decide_again(offer: CallOffered, entry: _Entry) -> Decision:
-    if entry.fingerprint != offer.fingerprint:
+def _decide_repeated(offer: CallOffered, record: _KeyRecord) -> Decision:
+    if record.fingerprint != offer.fingerprint:
         reason = "the key was used for another request"
         return Decision(DecisionKind.MISMATCH, reason=reason)
-    if entry.state is _State.DONE:
-        return Decision(DecisionKind.REPLAY, answer=entry.answer)
-    if entry.state is _State.FREE:
-        entry.state = _State.DISPATCHED
+    if record.state is _State.DONE:
+        return Decision(DecisionKind.REPLAY, answer=record.answer)
+    if record.state is _State.FREE:
+        record.state = _State.DISPATCHED
         return Decision(DecisionKind.DISPATCH)
-    if entry.state is _State.DISPATCHED:
-        reason = "the call is under way"
+    if record.state is _State.DISPATCHED:
+        reason = "the call is in progress"
         return Decision(
-            DecisionKind.IN_PROGRESS, reason=reason, retry_after=_ASK_AGAIN
+            DecisionKind.IN_PROGRESS,
+            reason=reason,
+            retry_after=_IN_PROGRESS_RETRY_SECONDS,
         )
     reason = "the upstream was lost while the call ran"
     return Decision(DecisionKind.UNKNOWN, reason=reason)
 
 
-def _describe_state(name: str, entry: _Entry) -> wire.KeyState:
-    answer = entry.answer
+def _make_key_state(name: str, record: _KeyRecord) -> wire.KeyState:
+    answer = record.answer
     if answer is None:
-        return wire.KeyState(name, entry.fingerprint)
+        return wire.KeyState(name, record.fingerprint)
     return wire.KeyState(
-        name, entry.fingerprint, answer.status, answer.headers, answer.body
+        name, record.fingerprint, answer.status, answer.headers, answer.body
     )
 
 
-def _claim_key(name: str) -> objects.ObjectKey:
+def _make_claim_key(name: str) -> objects.ObjectKey:
     return objects.ObjectKey(objects.Kind.CLAIMS.value, name)
