--- a/currantwall/coordination/requests/admission.py
+++ b/currantwall/coordination/requests/admission.py
@@ -1,15 +1,18 @@
-"""Who is served now, who waits, who is refused.
-
-Requests that find room are routed at once. When their target is full,
-they wait in queues, one an organisation, served by weighted fairness
-among organisations and by worth within one. A request that cannot be
-answered before its deadline is refused at once, with the time after
-which to come back; so is the least worthy one when the queue is full.
-
-An organisation's slots over all entries follow from what all entries say
-of its demand; each entry computes the same division and takes its part.
-A part that shrinks does so at once, one that grows only an interval
-later, so that the parts never add up to more than the whole for long.
+"""Admission control: which requests are started, queued or refused.
+
+A request is routed at once when its target has a free slot. Otherwise it
+waits in the queue of its organisation; the queues share the slots by
+weighted fair queueing, and within one queue the request with the highest
+weight comes first. A request that cannot be answered before its deadline
+is refused at once, with the time to wait before a retry. When the queues
+are full, the request with the lowest weight in the queue of the
+organisation is refused in favour of one with a higher weight.
+
+The slots that an organisation may use over all entries follow from its
+demand at all entries, which they publish. Each entry computes the same
+division and takes its own share of it. A share that shrinks does so at
+once, and one that grows does so over several intervals, so that the
+shares of all entries do not exceed the whole for long.
 """
 
 from collections import abc
@@ -30,83 +33,126 @@
 
 __all__ = ["Admission", "Cancelled"]
 
-_INTERVAL = 1.0
-_DEMAND_AGE = 4.0
-_SMOOTHING = 0.3
-_QUEUE_TICK = 0.05
-# Until ends have been measured, one request is taken to take so long.
-_FIRST_SECONDS = 1.0
-# An organisation may always have so many under way at one entry.
-_LEAST_SLOTS = 1.0
+# Between two measurements of the rates and divisions of the slots.
+_INTERVAL_SECONDS = 1.0
+# Age at which the demand published by another entry expires.
+_DEMAND_TTL_SECONDS = 4.0
+# Weight of the newest interval in the moving averages of the rates.
+_RATE_SMOOTHING = 0.3
+_QUEUE_CHECK_SECONDS = 0.05
+# Assumed duration of a request until some have been measured.
+_INITIAL_REQUEST_SECONDS = 1.0
+# Slots that an organisation may always use at one entry.
+_MIN_SLOTS = 1.0
 
 
 class Cancelled(part.Message, frozen=True):
-    """A caller left while its request waited."""
+    """A caller disconnected while its request was queued."""
 
     ticket: int
 
 
-class _Waiting(msgspec.Struct):
+class _QueuedRequest(msgspec.Struct):
+    """A request that waits in a queue.
+
+    Attributes:
+        number: Increases with each request queued at this entry.
+        removed: Whether it has left the queue; the heap may still hold it.
+    """
+
     request: routing.RouteRequested
     arrived: float
     number: int
-    over: bool = False
+    removed: bool = False
 
 
 class _Queue:
-    """Waiting requests of one organisation for one target."""
+    """Queued requests of one organisation for one target.
+
+    Attributes:
+        count: Requests in the queue.
+        virtual_time: Requests served, divided by the organisation's
+            weight; the queue with the smallest is served next.
+    """
 
     def __init__(self) -> None:
-        self._heap: list[tuple[float, float, int, _Waiting]] = []
+        self._heap: list[tuple[float, float, int, _QueuedRequest]] = []
         self.count = 0
-        self.virtual = 0.0
+        self.virtual_time = 0.0
 
-    def push(self, waiting: _Waiting) -> None:
-        """Add a request; the worthiest and most urgent comes first."""
-        request = waiting.request
-        key = (-request.weight, request.deadline, waiting.number, waiting)
+    def push(self, queued: _QueuedRequest) -> None:
+        """Add a request.
+
+        The one with the highest weight comes first; of equal weights the
+        one with the earliest deadline.
+        """
+        request = queued.request
+        key = (-request.weight, request.deadline, queued.number, queued)
         heapq.heappush(self._heap, key)
         self.count += 1
 
-    def peek(self) -> _Waiting | None:
-        """Return the next request."""
-        while self._heap and self._heap[0][3].over:
+    def peek(self) -> _QueuedRequest | None:
+        """Return the next request, None if there is none."""
+        while self._heap and self._heap[0][3].removed:
             heapq.heappop(self._heap)
         return self._heap[0][3] if self._heap else None
 
-    def drop(self, waiting: _Waiting) -> None:
-        """Take a request out."""
-        waiting.over = True
+    def remove(self, queued: _QueuedRequest) -> None:
+        """Remove a request."""
+        queued.removed = True
         self.count -= 1
 
-    def select(self) -> list[_Waiting]:
-        """Return the waiting requests, in no order."""
-        return [item[3] for item in self._heap if not item[3].over]
+    def list_requests(self) -> list[_QueuedRequest]:
+        """Return the queued requests, in no particular order."""
+        return [item[3] for item in self._heap if not item[3].removed]
 
 
 class _Target:
-    """Queues and measures of one profile or service."""
+    """Queues and measurements of one profile or service.
+
+    Attributes:
+        queues: Queue of each organisation.
+        open: Attempts in progress of each organisation.
+        arrivals: New requests of each organisation in this interval;
+            retries are not counted.
+        arrival_rates: Requests a second of each organisation at this
+            entry, a moving average.
+        slot_limits: Slots of each organisation at this entry; one that is
+            not listed has no limit.
+        request_seconds: Moving average of the duration of an attempt.
+        completions: Attempts answered in this interval.
+        completion_rate: Attempts answered a second, a moving average.
+        virtual_time: Virtual time of the queue served last, before that
+            request; a queue that was empty starts from no less.
+    """
 
     def __init__(self) -> None:
         self.queues: dict[ids.OrganisationName, _Queue] = {}
         self.open: dict[ids.OrganisationName, int] = {}
         self.arrivals: dict[ids.OrganisationName, float] = {}
-        self.rates: dict[ids.OrganisationName, float] = {}
-        self.limits: dict[ids.OrganisationName, float] = {}
-        self.seconds = _FIRST_SECONDS
-        self.ends = 0
-        self.end_rate = 0.0
-        self.virtual = 0.0
+        self.arrival_rates: dict[ids.OrganisationName, float] = {}
+        self.slot_limits: dict[ids.OrganisationName, float] = {}
+        self.request_seconds = _INITIAL_REQUEST_SECONDS
+        self.completions = 0
+        self.completion_rate = 0.0
+        self.virtual_time = 0.0
 
     @property
-    def waiting(self) -> int:
-        """Return the requests that wait."""
+    def queued_count(self) -> int:
+        """Return the number of queued requests."""
         return sum(queue.count for queue in self.queues.values())
 
 
 class _PeerDemand(msgspec.Struct):
+    """Demand of an organisation that another entry has published.
+
+    Attributes:
+        rate: Requests a second.
+        received: When it arrived here.
+    """
+
     rate: float
-    heard: float
+    received: float
 
 
 class Admission(part.Part):
@@ -122,24 +168,29 @@
         self._nodes = nodes
         self._settings = settings.requests
         self._weights = {
-            one.name: one.weight for one in settings.organisations
+            section.name: section.weight for section in settings.organisations
         }
-        self._rates = {one.name: one.rate for one in settings.organisations}
+        self._rates = {
+            section.name: section.rate for section in settings.organisations
+        }
+        # Token buckets: the tokens and when they were counted.
         self._tokens: dict[ids.OrganisationName, tuple[float, float]] = {}
         self._targets: dict[str, _Target] = {}
-        self._peers: dict[
+        # By profile, organisation and entry.
+        self._peer_demands: dict[
             tuple[str, ids.OrganisationName, ids.NodeId], _PeerDemand
         ] = {}
+        # Target, organisation and start of each attempt in progress.
         self._attempts: dict[
             ids.AttemptId, tuple[str, ids.OrganisationName, float]
         ] = {}
-        self._number = 0
+        self._last_number = 0
         self._next_interval = 0.0
-        self._next_look = math.inf
+        self._next_queue_check = math.inf
 
     def due(self) -> float:
         """Return when the next tick is wanted."""
-        return min(self._next_interval, self._next_look)
+        return min(self._next_interval, self._next_queue_check)
 
     # -- Requests
 
@@ -147,23 +198,27 @@
     def _on_request(
         self, request: routing.RouteRequested, now: float
     ) -> list[part.Action]:
-        unknown = self._router.find_unknown(request)
+        unknown = self._router.check_target(request)
         if unknown is not None:
-            # Before anything is kept: callers must not be able to make
-            # this grow with names that do not exist.
+            # Checked before anything is stored, so that requests for
+            # names that do not exist cannot use up memory.
             return self._refuse(request, unknown)
         target = self._targets.setdefault(request.target, _Target())
-        owner = request.organisation
-        retry = bool(request.excluded)
-        if not retry:
-            target.arrivals[owner] = target.arrivals.get(owner, 0.0) + 1
+        organisation = request.organisation
+        is_retry = bool(request.excluded)
+        if not is_retry:
+            target.arrivals[organisation] = (
+                target.arrivals.get(organisation, 0.0) + 1
+            )
             refused = self._check_rate(request, now)
             if refused is not None:
                 return self._refuse(request, refused)
-        if not target.waiting and self._is_within(target, owner):
+        if not target.queued_count and self._is_below_limit(
+            target, organisation
+        ):
             answer = self._router.choose(request, now)
             if isinstance(answer, routing.Route):
-                return self._start(target, request, answer, now)
+                return self._start_attempt(target, request, answer, now)
             if answer.reason is not routing.RefusalReason.OVERLOADED:
                 return self._refuse(request, answer)
         return self._enqueue(target, request, now)
@@ -171,56 +226,71 @@
     def _check_rate(
         self, request: routing.RouteRequested, now: float
     ) -> routing.Refusal | None:
-        """Return the refusal of an organisation over its rate."""
+        """Return the refusal if the organisation exceeds its rate.
+
+        The rate is enforced by a token bucket that holds one second's
+        requests, at least one.
+        """
         rate = self._rates.get(request.organisation, 0.0)
         if rate <= 0:
             return None
-        own = rate * self._measure_part(request)
-        tokens, at = self._tokens.get(request.organisation, (own, now))
-        tokens = min(max(own, 1.0), tokens + (now - at) * own)
+        local_rate = rate * self._compute_local_share(request)
+        tokens, counted_at = self._tokens.get(
+            request.organisation, (local_rate, now)
+        )
+        tokens = min(
+            max(local_rate, 1.0), tokens + (now - counted_at) * local_rate
+        )
         if tokens < 1.0:
             self._tokens[request.organisation] = (tokens, now)
             return routing.Refusal(
                 routing.RefusalReason.RATE,
-                f"{request.organisation} is over {rate:g} requests a second",
-                (1.0 - tokens) / max(own, 1e-3),
+                f"{request.organisation} exceeds {rate:g} requests a second",
+                (1.0 - tokens) / max(local_rate, 1e-3),
             )
         self._tokens[request.organisation] = (tokens - 1.0, now)
         return None
 
-    def _measure_part(self, request: routing.RouteRequested) -> float:
-        """Return this entry's part of an organisation's demand."""
-        owner = request.organisation
-        own = sum(
-            target.rates.get(owner, 0.0) for target in self._targets.values()
+    def _compute_local_share(self, request: routing.RouteRequested) -> float:
+        """Return this entry's share of an organisation's demand.
+
+        An equal share while no demand is known; never less than a fifth
+        of that.
+        """
+        organisation = request.organisation
+        local = sum(
+            target.arrival_rates.get(organisation, 0.0)
+            for target in self._targets.values()
         )
         others = sum(
             peer.rate
-            for (_, name, _), peer in self._peers.items()
-            if name == owner
+            for (_, name, _), peer in self._peer_demands.items()
+            if name == organisation
         )
-        if own + others <= 0:
+        if local + others <= 0:
             return 1.0 / max(1, len(self._nodes.usable()))
         entries = max(1, len(self._nodes.usable()))
-        return max(own / (own + others), 0.2 / entries)
+        return max(local / (local + others), 0.2 / entries)
 
-    def _is_within(self, target: _Target, owner: ids.OrganisationName) -> bool:
-        """Return whether an organisation is under its part of the slots."""
-        limit = target.limits.get(owner)
+    def _is_below_limit(
+        self, target: _Target, organisation: ids.OrganisationName
+    ) -> bool:
+        """Return whether an organisation uses less than its slots."""
+        limit = target.slot_limits.get(organisation)
         if limit is None:
             return True
-        return target.open.get(owner, 0) < max(limit, _LEAST_SLOTS)
+        return target.open.get(organisation, 0) < max(limit, _MIN_SLOTS)
 
-    def _start(
+    def _start_attempt(
         self,
         target: _Target,
         request: routing.RouteRequested,
         route: routing.Route,
         now: float,
     ) -> list[part.Action]:
-        owner = request.organisation
-        target.open[owner] = target.open.get(owner, 0) + 1
-        self._attempts[route.attempt] = (request.target, owner, now)
+        organisation = request.organisation
+        target.open[organisation] = target.open.get(organisation, 0) + 1
+        self._attempts[route.attempt] = (request.target, organisation, now)
         self._router.start(request, route, now)
         return [actions.Reply(request.ticket, route)]
 
@@ -234,7 +304,7 @@
             actions.Reply(request.ticket, refusal),
         ]
 
-    # -- Waiting
+    # -- Queueing
 
     def _enqueue(
         self,
@@ -242,19 +312,23 @@
         request: routing.RouteRequested,
         now: float,
     ) -> list[part.Action]:
-        self._number += 1
-        waiting = _Waiting(request, now, self._number)
+        self._last_number += 1
+        queued = _QueuedRequest(request, now, self._last_number)
         queue = target.queues.setdefault(request.organisation, _Queue())
         if queue.count == 0:
-            queue.virtual = max(queue.virtual, target.virtual)
+            queue.virtual_time = max(queue.virtual_time, target.virtual_time)
         if not self._can_wait(target, queue, request, now):
-            found = self._make_room(target, queue, request, now)
-            if found is None:
-                return self._refuse(request, self._explain(target, now))
-            queue.push(waiting)
-            return found
-        queue.push(waiting)
-        self._next_look = min(self._next_look, now + _QUEUE_TICK)
+            evicted = self._evict_lighter(target, queue, request, now)
+            if evicted is None:
+                return self._refuse(
+                    request, self._make_deadline_refusal(target, now)
+                )
+            queue.push(queued)
+            return evicted
+        queue.push(queued)
+        self._next_queue_check = min(
+            self._next_queue_check, now + _QUEUE_CHECK_SECONDS
+        )
         return []
 
     def _can_wait(
@@ -264,72 +338,85 @@
         request: routing.RouteRequested,
         now: float,
     ) -> bool:
-        """Return whether a request may hope to be answered in time."""
-        if target.waiting >= self._settings.queue_limit:
+        """Return whether a request can be queued and answered in time."""
+        if target.queued_count >= self._settings.queue_limit:
             return False
         ahead = sum(
             1
-            for other in queue.select()
+            for other in queue.list_requests()
             if other.request.weight >= request.weight
         )
         wait = self._estimate_wait(target, queue, ahead + 1)
-        latest = request.deadline - target.seconds if request.deadline else 0.0
+        latest_start = (
+            request.deadline - target.request_seconds
+            if request.deadline
+            else 0.0
+        )
         limit = now + self._settings.queue_time
         if request.deadline:
-            limit = min(limit, latest)
+            limit = min(limit, latest_start)
         return now + wait <= limit
 
     def _estimate_wait(
-        self, target: _Target, queue: _Queue, place: int
+        self, target: _Target, queue: _Queue, position: int
     ) -> float:
-        """Return the seconds until the one at a place is served.
+        """Return the seconds until the request at a position starts.
 
-        Organisations that wait share the ends by their weights.
+        Organisations with queued requests share the completions by their
+        weights.
         """
-        if target.end_rate <= 0:
+        if target.completion_rate <= 0:
             return 0.0
-        busy = sum(
-            self._weigh(owner)
-            for owner, other in target.queues.items()
+        total_weight = sum(
+            self._get_weight(organisation)
+            for organisation, other in target.queues.items()
             if other.count or other is queue
         )
-        owner = next(
+        organisation = next(
             name for name, other in target.queues.items() if other is queue
         )
-        share = self._weigh(owner) / busy
-        return place / (target.end_rate * share)
+        share = self._get_weight(organisation) / total_weight
+        return position / (target.completion_rate * share)
 
-    def _weigh(self, owner: ids.OrganisationName) -> float:
-        return self._weights.get(owner, 1.0)
+    def _get_weight(self, organisation: ids.OrganisationName) -> float:
+        return self._weights.get(organisation, 1.0)
 
-    def _make_room(
+    def _evict_lighter(
         self,
         target: _Target,
         queue: _Queue,
         request: routing.RouteRequested,
         now: float,
     ) -> list[part.Action] | None:
-        """Refuse a less worthy one that waits; None when there is none.
+        """Refuse a queued request of a lower weight to make room.
+
+        It is the one with the lowest weight, of these the newest, and its
+        caller is answered at once.
 
-        It gets its final answer at once.
+        Returns:
+            The actions, or None if no queued request has a lower weight.
         """
-        waiting = queue.select()
-        if not waiting:
+        candidates = queue.list_requests()
+        if not candidates:
             return None
-        least = min(
-            waiting,
-            key=lambda one: (one.request.weight, -one.number),
+        lightest = min(
+            candidates,
+            key=lambda queued: (queued.request.weight, -queued.number),
         )
-        if least.request.weight >= request.weight:
+        if lightest.request.weight >= request.weight:
             return None
-        queue.drop(least)
-        return self._refuse(least.request, self._explain(target, now))
+        queue.remove(lightest)
+        return self._refuse(
+            lightest.request, self._make_deadline_refusal(target, now)
+        )
 
-    def _explain(self, target: _Target, now: float) -> routing.Refusal:
-        """Return the refusal of a request that cannot be met."""
+    def _make_deadline_refusal(
+        self, target: _Target, now: float
+    ) -> routing.Refusal:
+        """Return the refusal of a request that would be answered too late."""
         wait = 1.0
-        if target.end_rate > 0:
-            wait = target.waiting / target.end_rate
+        if target.completion_rate > 0:
+            wait = target.queued_count / target.completion_rate
         return routing.Refusal(
             routing.RefusalReason.DEADLINE,
             "it could not be answered in time",
@@ -340,203 +427,227 @@
     def _on_cancel(self, message: Cancelled, now: float) -> None:
         for target in self._targets.values():
             for queue in target.queues.values():
-                for waiting in queue.select():
-                    if waiting.request.ticket == message.ticket:
-                        queue.drop(waiting)
+                for queued in queue.list_requests():
+                    if queued.request.ticket == message.ticket:
+                        queue.remove(queued)
 
-    # -- Serving those that wait
+    # -- Serving the queues
 
     @part.handles(routing.AttemptEnded)
     def _on_end(
         self, ended: routing.AttemptEnded, now: float
     ) -> list[part.Action]:
-        held = self._router.end(ended, now)
-        known = self._attempts.pop(ended.attempt, None)
-        if held is None or known is None:
+        open_attempt = self._router.end(ended, now)
+        admitted = self._attempts.pop(ended.attempt, None)
+        if open_attempt is None or admitted is None:
             return [actions.Count(actions.Counter.LATE_ANSWERS)]
-        name, owner, started = known
+        name, organisation, started = admitted
         target = self._targets[name]
-        target.open[owner] -= 1
+        target.open[organisation] -= 1
         if ended.kind is routing.EndKind.ANSWERED:
-            spent = now - started
-            target.seconds += 0.05 * (spent - target.seconds)
-            target.ends += 1
-        return self._serve(target, now)
+            duration = now - started
+            target.request_seconds += 0.05 * (
+                duration - target.request_seconds
+            )
+            target.completions += 1
+        return self._serve_queues(target, now)
 
-    def _serve(self, target: _Target, now: float) -> list[part.Action]:
-        """Start those that wait while there is room."""
+    def _serve_queues(self, target: _Target, now: float) -> list[part.Action]:
+        """Start queued requests while there are free slots."""
         found: list[part.Action] = []
-        while target.waiting:
+        while target.queued_count:
             queue = self._choose_queue(target)
             if queue is None:
                 break
-            waiting = queue.peek()
-            assert waiting is not None
-            request = waiting.request
-            if self._is_late(target, request, now):
-                queue.drop(waiting)
-                found += self._refuse(request, self._explain(target, now))
+            queued = queue.peek()
+            assert queued is not None
+            request = queued.request
+            if self._is_too_late(target, request, now):
+                queue.remove(queued)
+                found += self._refuse(
+                    request, self._make_deadline_refusal(target, now)
+                )
                 continue
             answer = self._router.choose(request, now)
             if isinstance(answer, routing.Refusal):
                 if answer.reason is routing.RefusalReason.OVERLOADED:
                     break
-                queue.drop(waiting)
+                queue.remove(queued)
                 found += self._refuse(request, answer)
                 continue
-            queue.drop(waiting)
-            target.virtual = queue.virtual
-            queue.virtual += 1.0 / self._weigh(request.organisation)
-            found += self._start(target, request, answer, now)
+            queue.remove(queued)
+            target.virtual_time = queue.virtual_time
+            queue.virtual_time += 1.0 / self._get_weight(request.organisation)
+            found += self._start_attempt(target, request, answer, now)
         return found
 
     def _choose_queue(self, target: _Target) -> _Queue | None:
-        """Return the queue whose organisation has had least so far."""
-        able = [
+        """Return the queue to serve next, None if none may be served."""
+        eligible = [
             queue
-            for owner, queue in target.queues.items()
-            if queue.count and self._is_within(target, owner)
+            for organisation, queue in target.queues.items()
+            if queue.count and self._is_below_limit(target, organisation)
         ]
-        return min(able, key=lambda queue: queue.virtual, default=None)
+        return min(
+            eligible, key=lambda queue: queue.virtual_time, default=None
+        )
 
     @staticmethod
-    def _is_late(
+    def _is_too_late(
         target: _Target, request: routing.RouteRequested, now: float
     ) -> bool:
+        """Return whether a request is too late to be started.
+
+        Half of the average duration must fit in before the deadline.
+        """
         if not request.deadline:
             return False
-        return now + target.seconds / 2 > request.deadline
+        return now + target.request_seconds / 2 > request.deadline
 
     # -- Time
 
     @part.handles(part.Tick)
     def _on_tick(self, _: part.Tick, now: float) -> list[part.Action]:
         found: list[part.Action] = []
-        if now >= self._next_look:
-            self._next_look = math.inf
+        if now >= self._next_queue_check:
+            self._next_queue_check = math.inf
             for target in self._targets.values():
                 found += self._expire(target, now)
-                found += self._serve(target, now)
-                if target.waiting:
-                    self._next_look = now + _QUEUE_TICK
+                found += self._serve_queues(target, now)
+                if target.queued_count:
+                    self._next_queue_check = now + _QUEUE_CHECK_SECONDS
         if now >= self._next_interval:
             found += self._start_interval(now)
         return found
 
     def _expire(self, target: _Target, now: float) -> list[part.Action]:
-        """Refuse those that waited too long; they are told at once."""
+        """Refuse the requests that waited too long or are too late."""
         found: list[part.Action] = []
         for queue in target.queues.values():
-            for waiting in queue.select():
-                request = waiting.request
-                limit = waiting.arrived + self._settings.queue_time
-                if now >= limit or self._is_late(target, request, now):
-                    queue.drop(waiting)
-                    explained = self._explain(target, now)
-                    found += self._refuse(request, explained)
+            for queued in queue.list_requests():
+                request = queued.request
+                limit = queued.arrived + self._settings.queue_time
+                if now >= limit or self._is_too_late(target, request, now):
+                    queue.remove(queued)
+                    refusal = self._make_deadline_refusal(target, now)
+                    found += self._refuse(request, refusal)
         return found
 
     def _start_interval(self, now: float) -> list[part.Action]:
-        self._next_interval = now + _INTERVAL
+        self._next_interval = now + _INTERVAL_SECONDS
         found: list[part.Action] = []
-        for key, peer in list(self._peers.items()):
-            if now - peer.heard > _DEMAND_AGE:
-                del self._peers[key]
+        for key, peer in list(self._peer_demands.items()):
+            if now - peer.received > _DEMAND_TTL_SECONDS:
+                del self._peer_demands[key]
         for name, target in list(self._targets.items()):
-            if self._router.find_unknown(_make_probe(name)) is not None:
-                self._drop_target(name, target)
+            if self._router.check_target(_make_sample(name)) is not None:
+                self._remove_target(name, target)
                 continue
-            self._measure(target)
-            self._divide(name, target, now)
-            found += self._publish(name, target)
+            self._update_rates(target)
+            self._divide_slots(name, target, now)
+            found += self._publish_demand(name, target)
         return found
 
-    def _drop_target(self, name: str, target: _Target) -> None:
-        """Forget a deleted profile once nothing of it is left."""
-        if not target.waiting and not any(target.open.values()):
+    def _remove_target(self, name: str, target: _Target) -> None:
+        """Remove a deleted profile once it has no requests left."""
+        if not target.queued_count and not any(target.open.values()):
             del self._targets[name]
 
     @staticmethod
-    def _measure(target: _Target) -> None:
-        rate = target.ends / _INTERVAL
-        target.end_rate += _SMOOTHING * (rate - target.end_rate)
-        target.ends = 0
-        owners = target.arrivals.keys() | target.rates.keys()
-        for owner in owners:
-            seen = target.arrivals.get(owner, 0.0) / _INTERVAL
-            before = target.rates.get(owner, 0.0)
-            target.rates[owner] = before + _SMOOTHING * (seen - before)
+    def _update_rates(target: _Target) -> None:
+        rate = target.completions / _INTERVAL_SECONDS
+        target.completion_rate += _RATE_SMOOTHING * (
+            rate - target.completion_rate
+        )
+        target.completions = 0
+        organisations = target.arrivals.keys() | target.arrival_rates.keys()
+        for organisation in organisations:
+            current = (
+                target.arrivals.get(organisation, 0.0) / _INTERVAL_SECONDS
+            )
+            previous = target.arrival_rates.get(organisation, 0.0)
+            target.arrival_rates[organisation] = previous + _RATE_SMOOTHING * (
+                current - previous
+            )
         target.arrivals.clear()
 
     @staticmethod
-    def _publish(name: str, target: _Target) -> list[part.Action]:
+    def _publish_demand(name: str, target: _Target) -> list[part.Action]:
         return [
             actions.Publish(
                 wire.Demand(
                     profile=ids.ProfileName(name),
-                    organisation=owner,
+                    organisation=organisation,
                     rate=round(rate, 2),
                 )
             )
-            for owner, rate in target.rates.items()
+            for organisation, rate in target.arrival_rates.items()
             if rate >= 0.01
         ]
 
     @part.handles(wire.Demand)
     def _on_demand(self, message: messages.Delivered, now: float) -> None:
-        body = message.payload
-        key = (body.profile, body.organisation, message.origin)
-        self._peers[key] = _PeerDemand(body.rate, now)
+        demand = message.payload
+        key = (demand.profile, demand.organisation, message.origin)
+        self._peer_demands[key] = _PeerDemand(demand.rate, now)
+
+    # -- Slots of each organisation
 
-    # -- Shares
+    def _divide_slots(self, name: str, target: _Target, now: float) -> None:
+        """Update how many slots each organisation has at this entry.
 
-    def _divide(self, name: str, target: _Target, now: float) -> None:
-        """Work out how many slots each organisation has at this entry."""
-        demands = dict(target.rates)
-        for (profile, owner, _), peer in self._peers.items():
+        There are no limits while the slots cover the whole demand.
+        """
+        demands = dict(target.arrival_rates)
+        for (profile, organisation, _), peer in self._peer_demands.items():
             if profile == name:
-                demands[owner] = demands.get(owner, 0.0) + peer.rate
-        slots = self._router.count_slots(_make_probe(name), now)
-        asked = {
-            owner: rate * target.seconds for owner, rate in demands.items()
+                demands[organisation] = (
+                    demands.get(organisation, 0.0) + peer.rate
+                )
+        slots = self._router.count_slots(_make_sample(name), now)
+        wanted_slots = {
+            organisation: rate * target.request_seconds
+            for organisation, rate in demands.items()
         }
         limits: dict[ids.OrganisationName, float] = {}
-        if sum(asked.values()) > slots > 0:
-            limits = self._share(slots, asked, demands, target)
+        if sum(wanted_slots.values()) > slots > 0:
+            limits = self._compute_limits(slots, wanted_slots, demands, target)
         self._apply_limits(target, limits)
 
-    def _share(
+    def _compute_limits(
         self,
         slots: float,
-        asked: abc.Mapping[ids.OrganisationName, float],
+        wanted_slots: abc.Mapping[ids.OrganisationName, float],
         demands: abc.Mapping[ids.OrganisationName, float],
         target: _Target,
     ) -> dict[ids.OrganisationName, float]:
-        shares = fairness.divide(slots, asked, self._weights)
-        found = {}
-        for owner, rate in target.rates.items():
-            if demands[owner] > 0:
-                found[owner] = shares[owner] * rate / demands[owner]
-        return found
+        shares = fairness.divide(slots, wanted_slots, self._weights)
+        limits = {}
+        for organisation, rate in target.arrival_rates.items():
+            if demands[organisation] > 0:
+                limits[organisation] = (
+                    shares[organisation] * rate / demands[organisation]
+                )
+        return limits
 
     @staticmethod
     def _apply_limits(
         target: _Target, limits: dict[ids.OrganisationName, float]
     ) -> None:
-        """Lower at once; raise half of the way each interval."""
-        for owner, limit in limits.items():
-            held = target.limits.get(owner)
-            if held is not None and limit > held:
-                limits[owner] = held + (limit - held) / 2
-        target.limits = limits
+        """Set the limits; raise one by half of the difference at a time."""
+        for organisation, limit in limits.items():
+            previous = target.slot_limits.get(organisation)
+            if previous is not None and limit > previous:
+                limits[organisation] = previous + (limit - previous) / 2
+        target.slot_limits = limits
 
 
-def _make_probe(name: str) -> routing.RouteRequested:
-    """Return a request that stands for any of a target's."""
-    mark = "service:"
+def _make_sample(name: str) -> routing.RouteRequested:
+    """Return a request for a target, to ask the router about it."""
+    service_prefix = "service:"
     attempt = ids.AttemptId("")
-    if name.startswith(mark):
-        service = ids.ServiceName(name[len(mark) :])
+    if name.startswith(service_prefix):
+        service = ids.ServiceName(name[len(service_prefix) :])
         return routing.RouteRequested(
             ticket=0, attempt=attempt, service=service
         )
--- a/currantwall/coordination/requests/routing.py
+++ b/currantwall/coordination/requests/routing.py
@@ -1,11 +1,12 @@
 """Choosing the replica or service instance for one attempt.
 
-Load reports lag, so the load of an upstream is taken as its last report
-corrected by what this node has started and ended there since. Of two
-candidates drawn at random the less loaded is taken, a slow one counted
-as more loaded: with reports that are late, "the least loaded of all"
-sends everybody to the same one. A request whose prefix some replica is
-believed to have cached goes there while that one is not overfull.
+Load reports lag, so the load of an upstream is estimated as its last
+report plus the attempts that this node has started there since, minus
+those that have ended. Of two candidates drawn at random the less loaded
+is chosen, where a slow one counts as more loaded. Choosing the least
+loaded of all would send the requests of every node to the same upstream
+while the reports lag. A request whose prefix a replica has probably
+cached goes to that replica unless it is overloaded.
 """
 
 import collections
@@ -36,17 +37,19 @@
     "Router",
 ]
 
-# Starts and ends remembered for each upstream between two reports.
-_CHANGES_LIMIT = 512
-# A preferred replica may be this much fuller than the mean.
-_AFFINITY_BOUND = 1.25
-_BELIEFS_LIMIT = 8192
-# Attempts between two looks at what is usual for a target.
-_TYPICAL_STEPS = 32
+# Starts and ends kept for each upstream between two reports.
+_LOAD_CHANGES_LIMIT = 512
+# Load of a replica with the cached prefix, relative to the mean load, up
+# to which it is preferred.
+_AFFINITY_LOAD_FACTOR = 1.25
+# Prefixes whose replica is remembered.
+_CACHED_PREFIXES_LIMIT = 8192
+# Random draws between two updates of a target's median latency.
+_MEDIAN_UPDATE_DRAWS = 32
 
 
 class RefusalReason(enum.Enum):
-    """Why a request is not sent anywhere."""
+    """Why a request is not routed."""
 
     UNKNOWN_TARGET = "unknown_target"
     NO_REPLICA = "no_replica"
@@ -57,15 +60,17 @@
 
 
 class RouteRequested(part.Message, frozen=True, kw_only=True):
-    """A request wants an upstream.
+    """An attempt needs an upstream.
 
     Attributes:
-        profile: Profile to serve it, or empty for a plain service.
-        excluded: Upstreams that earlier attempts failed at.
-        organisation: Who asks.
-        weight: Worth of an answer to this kind of request.
-        deadline: When an answer is of no use any more.
-        prefix: Hash of the prompt's beginning, 0 for none.
+        ticket: Number under which the answer is returned.
+        profile: Requested profile, or empty for a plain service.
+        service: Requested plain service, or empty for a profile.
+        excluded: Upstreams at which earlier attempts failed.
+        organisation: Organisation of the caller.
+        weight: Priority of this kind of request; higher is served first.
+        deadline: Time after which an answer is useless, 0 for none.
+        prefix: Hash of the beginning of the prompt, 0 for none.
     """
 
     ticket: int
@@ -80,15 +85,17 @@
 
     @property
     def target(self) -> str:
-        """Return the name of what is to serve it."""
+        """Return the name of the profile or service it is for."""
         return self.profile or f"service:{self.service}"
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Where an attempt goes.
+    """The upstream of an attempt.
 
     Attributes:
         subject: Replica, or instance of a plain service.
+        generation: Generation of the replica, 0 for a plain service.
+        instance: Instance to connect to; of a replica its leader.
     """
 
     attempt: ids.AttemptId
@@ -99,7 +106,11 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """Why a request goes nowhere, and when to come back."""
+    """Why a request is not routed.
+
+    Attributes:
+        retry_after: Seconds to wait before a retry, 0 for never.
+    """
 
     reason: RefusalReason
     detail: str
@@ -110,22 +121,26 @@
     """How an attempt ended."""
 
     ANSWERED = "answered"
-    # The upstream refused it for load.
+    # The upstream refused it because of its load.
     BUSY = "busy"
     FAILED = "failed"
-    # The caller left; says nothing about the upstream.
+    # The caller disconnected; says nothing about the upstream.
     ABANDONED = "abandoned"
 
 
 class AttemptEnded(part.Message, frozen=True):
-    """An attempt is over, however it ended."""
+    """An attempt has ended."""
 
     attempt: ids.AttemptId
     kind: EndKind = EndKind.ANSWERED
 
 
 class Candidate(msgspec.Struct, frozen=True):
-    """An upstream that may be used now."""
+    """An upstream that may be used now.
+
+    Attributes:
+        limit: Requests that it may serve at the same time.
+    """
 
     subject: str
     generation: int
@@ -135,120 +150,139 @@
     limit: int
 
 
-class _Open(msgspec.Struct, frozen=True):
+class _OpenAttempt(msgspec.Struct, frozen=True):
+    """An attempt in progress."""
+
     subject: str
     target: str
     organisation: ids.OrganisationName
     started: float
 
 
-class _Own:
-    """What this node has under way at one upstream."""
+class _LocalLoad:
+    """Load that this node's own attempts put on one upstream."""
 
     def __init__(self) -> None:
         self.open = 0
-        self._since = 0
+        self._net_change = 0
         self._changes: collections.deque[tuple[float, int]] = (
-            collections.deque(maxlen=_CHANGES_LIMIT)
+            collections.deque(maxlen=_LOAD_CHANGES_LIMIT)
         )
 
-    def change(self, step: int, now: float) -> None:
-        """Note the start (1) or end (-1) of a request."""
+    def record_change(self, step: int, now: float) -> None:
+        """Record the start (1) or end (-1) of an attempt."""
         self.open += step
-        if len(self._changes) == _CHANGES_LIMIT:
-            self._since -= self._changes[0][1]
+        if len(self._changes) == _LOAD_CHANGES_LIMIT:
+            self._net_change -= self._changes[0][1]
         self._changes.append((now, step))
-        self._since += step
+        self._net_change += step
+
+    def estimate(self, reported: int, reported_at: float) -> int:
+        """Return the estimated load now.
 
-    def estimate(self, reported: int, at: float) -> int:
-        """Return the load now, from a report made at a time."""
-        while self._changes and self._changes[0][0] <= at:
-            self._since -= self._changes.popleft()[1]
-        return max(self.open, reported + self._since)
+        Args:
+            reported: Load in the upstream's last report.
+            reported_at: When that report was made.
+        """
+        while self._changes and self._changes[0][0] <= reported_at:
+            self._net_change -= self._changes.popleft()[1]
+        return max(self.open, reported + self._net_change)
 
 
 class Router:
-    """Chooses upstreams and keeps count of the attempts under way."""
+    """Chooses upstreams and counts the attempts in progress."""
 
     def __init__(
         self,
         view: views.ObjectsView,
         nodes: views.MembersView,
-        opinions: evidence.Evidence,
+        upstream_evidence: evidence.Evidence,
         settings: settings_module.Settings,
     ) -> None:
         self._view = view
         self._nodes = nodes
-        self._opinions = opinions
-        self._services = {one.name: one for one in settings.services}
-        self._open: dict[ids.AttemptId, _Open] = {}
-        self._own: dict[str, _Own] = {}
+        self._evidence = upstream_evidence
+        self._services = {
+            section.name: section for section in settings.services
+        }
+        self._open: dict[ids.AttemptId, _OpenAttempt] = {}
+        self._local_loads: dict[str, _LocalLoad] = {}
         self._breakers = breakers.Breakers()
         self._latencies = latency.Latencies()
-        self._beliefs: collections.OrderedDict[int, tuple[str, int]] = (
-            collections.OrderedDict()
-        )
+        # Upstream that last got a prefix, with its cache version then.
+        self._cached_prefixes: collections.OrderedDict[
+            int, tuple[str, int]
+        ] = collections.OrderedDict()
         self._draws = 0
 
     @property
     def open_attempts(self) -> int:
-        """Return the attempts under way in this process."""
+        """Return the number of attempts in progress in this process."""
         return len(self._open)
 
     # -- Attempts
 
     def start(self, request: RouteRequested, route: Route, now: float) -> None:
-        """Note that an attempt is sent."""
+        """Record that an attempt is sent."""
         subject = route.subject
-        self._open[route.attempt] = _Open(
+        self._open[route.attempt] = _OpenAttempt(
             subject, request.target, request.organisation, now
         )
-        self._own.setdefault(subject, _Own()).change(1, now)
-        self._breakers.start(subject)
-        self._latencies.start(subject, now)
+        self._local_loads.setdefault(subject, _LocalLoad()).record_change(
+            1, now
+        )
+        self._breakers.record_start(subject)
+        self._latencies.record_start(subject, now)
         if request.prefix:
-            self._believe(request.prefix, subject)
+            self._record_prefix(request.prefix, subject)
 
-    def end(self, ended: AttemptEnded, now: float) -> _Open | None:
-        """Note the end of an attempt; None when it was over already."""
-        held = self._open.pop(ended.attempt, None)
-        if held is None:
+    def end(self, ended: AttemptEnded, now: float) -> _OpenAttempt | None:
+        """Record the end of an attempt.
+
+        Returns:
+            The attempt, or None if it had ended already.
+        """
+        attempt = self._open.pop(ended.attempt, None)
+        if attempt is None:
             return None
-        subject = held.subject
-        own = self._own[subject]
-        own.change(-1, now)
+        subject = attempt.subject
+        local = self._local_loads[subject]
+        local.record_change(-1, now)
         if ended.kind is EndKind.ANSWERED:
-            self._breakers.succeed(subject)
-            self._latencies.note(subject, now - held.started)
+            self._breakers.record_success(subject)
+            self._latencies.record_duration(subject, now - attempt.started)
         elif ended.kind is EndKind.FAILED:
-            self._breakers.fail(subject, now)
+            self._breakers.record_failure(subject, now)
         else:
-            self._breakers.release(subject)
-        if own.open == 0 and not self._exists(subject):
-            del self._own[subject]
+            self._breakers.record_inconclusive(subject)
+        if local.open == 0 and not self._exists(subject):
+            del self._local_loads[subject]
             self._breakers.forget(subject)
             self._latencies.forget(subject)
-        return held
+        return attempt
 
-    # -- The choice
+    # -- Choice of the upstream
 
     def choose(self, request: RouteRequested, now: float) -> Route | Refusal:
-        """Return where to send an attempt, or why nowhere."""
-        unknown = self.find_unknown(request)
-        if unknown is not None:
-            return unknown
+        """Return the route of an attempt, or why there is none."""
+        refusal = self.check_target(request)
+        if refusal is not None:
+            return refusal
         candidates = self.list_candidates(request, now)
         name = request.profile or request.service
         if not candidates:
             return Refusal(
-                RefusalReason.NO_REPLICA, f"nothing serves {name} now"
+                RefusalReason.NO_REPLICA,
+                f"no upstream of {name} is usable now",
             )
-        self._note_typical(request.target, candidates)
-        free = self._keep_free(candidates)
+        self._update_median(request.target, candidates)
+        free = self._select_free(candidates)
         if not free:
-            return Refusal(RefusalReason.OVERLOADED, f"{name} is full")
-        chosen = self._prefer_cached(request, free)
-        chosen = chosen or self._pick(request.target, free)
+            return Refusal(
+                RefusalReason.OVERLOADED, f"all upstreams of {name} are full"
+            )
+        chosen = self._choose_cached(request, free)
+        chosen = chosen or self._choose_less_loaded(request.target, free)
         return Route(
             request.attempt,
             chosen.subject,
@@ -257,8 +291,8 @@
             chosen.address,
         )
 
-    def find_unknown(self, request: RouteRequested) -> Refusal | None:
-        """Return the refusal of a request for what does not exist."""
+    def check_target(self, request: RouteRequested) -> Refusal | None:
+        """Return the refusal if the profile or service does not exist."""
         reason = RefusalReason.UNKNOWN_TARGET
         if request.service:
             if request.service in self._services:
@@ -268,138 +302,154 @@
             return None
         return Refusal(reason, f"unknown profile {request.profile!r}", 0)
 
-    def _keep_free(
+    def _select_free(
         self, candidates: abc.Sequence[Candidate]
     ) -> list[Candidate]:
-        """Return the candidates with room, own data centre first."""
+        """Return the candidates below their limits.
+
+        Those of this node's data centre, if there are any; else all.
+        """
         free = [
-            one
-            for one in candidates
-            if self.estimate_load(one.subject) < one.limit
+            candidate
+            for candidate in candidates
+            if self.estimate_load(candidate.subject) < candidate.limit
+        ]
+        datacentre = self._nodes.me.datacentre
+        local = [
+            candidate
+            for candidate in free
+            if candidate.datacentre == datacentre
         ]
-        home = self._nodes.me.datacentre
-        local = [one for one in free if one.datacentre == home]
         return local or free
 
-    def _note_typical(
+    def _update_median(
         self, target: str, candidates: abc.Sequence[Candidate]
     ) -> None:
-        if self._draws % _TYPICAL_STEPS == 0:
-            subjects = [one.subject for one in candidates]
-            self._latencies.set_typical(target, subjects)
+        if self._draws % _MEDIAN_UPDATE_DRAWS == 0:
+            subjects = [candidate.subject for candidate in candidates]
+            self._latencies.update_median(target, subjects)
 
     # -- Candidates
 
     def list_candidates(
         self, request: RouteRequested, now: float
     ) -> list[Candidate]:
-        """Return the upstreams that may be used, full ones included."""
+        """Return the upstreams that may be used, including full ones.
+
+        Stragglers are left out while there are others.
+        """
         if request.service:
-            found = self._list_services(request.service, now)
+            candidates = self._list_service_instances(request.service, now)
         else:
-            found = self._list_replicas(request.profile, now)
+            candidates = self._list_replicas(request.profile, now)
         target = request.target
         usable = [
-            one
-            for one in found
-            if one.subject not in request.excluded
-            and self._breakers.allows(one.subject, now)
+            candidate
+            for candidate in candidates
+            if candidate.subject not in request.excluded
+            and self._breakers.allows(candidate.subject, now)
         ]
-        brisk = [
-            one
-            for one in usable
-            if self._latencies.allows(target, one.subject, now)
+        fast = [
+            candidate
+            for candidate in usable
+            if self._latencies.allows(target, candidate.subject, now)
         ]
-        return brisk or usable
+        return fast or usable
 
     def count_slots(self, request: RouteRequested, now: float) -> int:
-        """Return the requests that all usable upstreams take together."""
-        return sum(one.limit for one in self.list_candidates(request, now))
+        """Return the sum of the limits of all usable upstreams."""
+        return sum(
+            candidate.limit for candidate in self.list_candidates(request, now)
+        )
 
     def _list_replicas(
         self, profile: ids.ProfileName, now: float
     ) -> list[Candidate]:
-        wanted = self._view.profiles.get(profile)
-        if wanted is None:
+        wanted_profile = self._view.profiles.get(profile)
+        if wanted_profile is None:
             return []
-        limit = wanted.concurrency
-        found = []
+        limit = wanted_profile.concurrency
+        candidates = []
         for ledger in self._view.domains.values():
             for replica in ledger.select(profile):
-                if not self._opinions.may_use(ledger, replica, now):
+                if not self._evidence.may_use(ledger, replica, now):
                     continue
-                candidate = self._describe(ledger, replica, limit)
+                candidate = self._make_candidate(ledger, replica, limit)
                 if candidate is not None:
-                    found.append(candidate)
-        return found
+                    candidates.append(candidate)
+        return candidates
 
-    def _describe(
+    def _make_candidate(
         self, ledger: domain.Domain, replica: domain.Replica, limit: int
     ) -> Candidate | None:
-        listed = self._view.instances.get(replica.leader)
-        if listed is None:
+        instance = self._view.instances.get(replica.leader)
+        if instance is None:
             return None
         return Candidate(
             replica.id,
             replica.generation,
             replica.leader,
-            listed.address,
+            instance.address,
             ledger.datacentre,
             limit,
         )
 
-    def _list_services(
+    def _list_service_instances(
         self, service: ids.ServiceName, now: float
     ) -> list[Candidate]:
         section = self._services.get(service)
         if section is None:
             return []
         limit = section.concurrency
-        leaving = {stop.target for stop in self._view.stops.values()}
+        stopped = {stop.target for stop in self._view.stops.values()}
         return [
             Candidate(
-                listed.id,
+                instance.id,
                 0,
-                listed.id,
-                listed.address,
-                listed.datacentre,
+                instance.id,
+                instance.address,
+                instance.datacentre,
                 limit,
             )
-            for listed in self._view.list_services(service)
-            if listed.state is instances.InstanceState.LIVE
-            and leaving.isdisjoint(
-                (listed.id, listed.domain, listed.datacentre)
+            for instance in self._view.list_services(service)
+            if instance.state is instances.InstanceState.LIVE
+            and stopped.isdisjoint(
+                (instance.id, instance.domain, instance.datacentre)
             )
-            and self._opinions.is_whole(listed.id, 0, now)
+            and self._evidence.is_whole(instance.id, 0, now)
         ]
 
     # -- Load
 
     def estimate_load(self, subject: str) -> int:
-        """Return the requests believed to be at an upstream."""
-        reported, at = self._opinions.load_of(subject)
-        own = self._own.get(subject)
-        return own.estimate(reported, at) if own else reported
-
-    def _pick(self, target: str, free: abc.Sequence[Candidate]) -> Candidate:
-        first = self._draw(free)
-        second = self._draw(free)
+        """Return the estimated number of requests at an upstream."""
+        reported, reported_at = self._evidence.load_of(subject)
+        local = self._local_loads.get(subject)
+        return local.estimate(reported, reported_at) if local else reported
+
+    def _choose_less_loaded(
+        self, target: str, free: abc.Sequence[Candidate]
+    ) -> Candidate:
+        first = self._draw_candidate(free)
+        second = self._draw_candidate(free)
         if second == first and len(free) > 1:
             second = free[(free.index(first) + 1) % len(free)]
-        if self._weigh(target, second) < self._weigh(target, first):
+        if self._weigh_load(target, second) < self._weigh_load(target, first):
             return second
         return first
 
-    def _weigh(self, target: str, candidate: Candidate) -> float:
-        """Return the load of a candidate as a caller would feel it."""
+    def _weigh_load(self, target: str, candidate: Candidate) -> float:
+        """Return the load after one more request times the slowdown."""
         load = self.estimate_load(candidate.subject) + 1
-        return load * self._latencies.measure(target, candidate.subject)
+        return load * self._latencies.measure_slowdown(
+            target, candidate.subject
+        )
 
-    def _draw(self, free: abc.Sequence[Candidate]) -> Candidate:
+    def _draw_candidate(self, free: abc.Sequence[Candidate]) -> Candidate:
         self._draws += 1
         me = self._nodes.me
-        draw = rendezvous.score(f"{me.id}.{me.incarnation}", str(self._draws))
-        return free[draw % len(free)]
+        score = rendezvous.score(f"{me.id}.{me.incarnation}", str(self._draws))
+        return free[score % len(free)]
 
     def _exists(self, subject: str) -> bool:
         if subject in self._view.instances:
@@ -410,44 +460,46 @@
 
     # -- Prefix affinity
 
-    def _prefer_cached(
+    def _choose_cached(
         self, request: RouteRequested, free: abc.Sequence[Candidate]
     ) -> Candidate | None:
-        """Return a replica that has the prefix, if it is not overfull.
+        """Return a replica that probably has the prefix cached.
 
-        Without a belief the prefix goes where its hash says, so that all
-        entries send it to the same few replicas.
+        These are the replica to which this node last sent it and the two
+        that the prefix's hash ranks first, so that all entries send it to
+        the same few replicas. None if each of them is full, overloaded
+        or slow.
         """
         if not request.prefix:
             return None
-        by_name = {one.subject: one for one in free}
-        order = rendezvous.choose(str(request.prefix), by_name, 2)
-        believed = self._get_belief(request.prefix)
-        if believed in by_name and believed not in order:
-            order.insert(0, believed)
+        by_name = {candidate.subject: candidate for candidate in free}
+        preferred = rendezvous.choose(str(request.prefix), by_name, 2)
+        holder = self._get_prefix_holder(request.prefix)
+        if holder in by_name and holder not in preferred:
+            preferred.insert(0, holder)
         loads = [self.estimate_load(name) for name in by_name]
-        bound = _AFFINITY_BOUND * (sum(loads) / len(loads)) + 1
-        for name in order:
-            slow = self._latencies.measure(request.target, name)
-            if self.estimate_load(name) <= bound and slow <= 1.0:
+        max_load = _AFFINITY_LOAD_FACTOR * (sum(loads) / len(loads)) + 1
+        for name in preferred:
+            slowdown = self._latencies.measure_slowdown(request.target, name)
+            if self.estimate_load(name) <= max_load and slowdown <= 1.0:
                 return by_name[name]
         return None
 
-    def _believe(self, prefix: int, subject: str) -> None:
-        version = self._opinions.cache_version(subject)
-        self._beliefs[prefix] = (subject, version)
-        self._beliefs.move_to_end(prefix)
-        if len(self._beliefs) > _BELIEFS_LIMIT:
-            self._beliefs.popitem(last=False)
+    def _record_prefix(self, prefix: int, subject: str) -> None:
+        version = self._evidence.cache_version(subject)
+        self._cached_prefixes[prefix] = (subject, version)
+        self._cached_prefixes.move_to_end(prefix)
+        if len(self._cached_prefixes) > _CACHED_PREFIXES_LIMIT:
+            self._cached_prefixes.popitem(last=False)
 
-    def _get_belief(self, prefix: int) -> str:
-        """Return who is believed to have a prefix, empty for nobody.
+    def _get_prefix_holder(self, prefix: int) -> str:
+        """Return the upstream that last got a prefix, or an empty string.
 
         A gap in an engine's cache events changes its cache version; what
-        was believed of it before is dropped.
+        was recorded of it before is no longer valid and is removed.
         """
-        subject, version = self._beliefs.get(prefix, ("", 0))
-        if subject and self._opinions.cache_version(subject) != version:
-            del self._beliefs[prefix]
+        subject, version = self._cached_prefixes.get(prefix, ("", 0))
+        if subject and self._evidence.cache_version(subject) != version:
+            del self._cached_prefixes[prefix]
             return ""
         return subject
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests under failure: at most once, whole answers, fair admission."""
+"""Requests under faults: at-most-once, retries, routing and admission."""
 
 from collections import abc
 import unittest
@@ -36,11 +36,11 @@
     return world
 
 
-class Bookings:
-    """Callers and a plain service on a world; counts every run.
+class ServiceCallers:
+    """Callers and a plain service in a simulated site; counts every run.
 
-    It plays the part of the transport: offers calls, forwards them to
-    their homes, runs them, and tells the home how they ended.
+    It stands in for the transport: offers calls, forwards them to their
+    homes, runs them, and reports to the home how they ended.
     """
 
     def __init__(self, world: virtual.World) -> None:
@@ -49,16 +49,20 @@
         self._ticket = 10_000
 
     def offer(
-        self, name: str, key: str, fate: str = "done", forwarded: bool = False
+        self,
+        name: str,
+        key: str,
+        result: str = "done",
+        forwarded: bool = False,
     ) -> homes.Decision | None:
-        """Offer a call to an entry and carry out what it decides.
+        """Offer a call to an entry and carry out its decision.
 
         Args:
             name: The entry.
             key: The idempotency key.
-            fate: What happens when it is dispatched: "done", "refused"
-                (not run), "lost" (runs, answer lost), "hangs".
-            forwarded: Whether another entry passes it on.
+            result: What the service does when it is dispatched: "done",
+                "refused" (not run), "lost" (runs, answer lost), "hangs".
+            forwarded: Whether another entry forwards it.
         """
         host = self.world.hosts[ids.NodeId(name)]
         if not host.alive or host.paused:
@@ -77,30 +81,30 @@
         if not isinstance(decision, homes.Decision):
             return None
         if decision.kind is Kind.FORWARD and decision.home is not None:
-            return self._forward(key, fate, decision)
+            return self._forward(key, result, decision)
         if decision.kind is Kind.DISPATCH:
-            self._dispatch(host, key, fate)
+            self._dispatch(host, key, result)
         elif decision.kind in (Kind.NOT_RUN, Kind.MISMATCH):
-            self._say(key, homes.Outcome.NOT_RUN)
+            self._check_outcome(key, homes.Outcome.NOT_RUN)
         return decision
 
     def _forward(
-        self, key: str, fate: str, decision: homes.Decision
+        self, key: str, result: str, decision: homes.Decision
     ) -> homes.Decision | None:
         assert decision.home is not None
-        # Whoever has the address now gets it, also a successor.
-        return self.offer(decision.home.node, key, fate, True)
+        # Sent to the node's current process, also if it has restarted.
+        return self.offer(decision.home.node, key, result, True)
 
-    def _dispatch(self, host: virtual.Host, key: str, fate: str) -> None:
-        if fate != "refused":
+    def _dispatch(self, host: virtual.Host, key: str, result: str) -> None:
+        if result != "refused":
             self.runs[key] = self.runs.get(key, 0) + 1
-        if fate == "hangs":
+        if result == "hangs":
             return
         outcome = {
             "done": homes.Outcome.DONE,
             "refused": homes.Outcome.NOT_RUN,
             "lost": homes.Outcome.UNKNOWN,
-        }[fate]
+        }[result]
         answer = homes.StoredAnswer(200, (), key.encode())
         host.tell(
             homes.CallEnded(
@@ -110,19 +114,19 @@
                 answer if outcome is homes.Outcome.DONE else None,
             )
         )
-        self._say(key, outcome)
+        self._check_outcome(key, outcome)
 
-    def _say(self, key: str, outcome: homes.Outcome) -> None:
+    def _check_outcome(self, key: str, outcome: homes.Outcome) -> None:
         ran = self.runs.get(key, 0)
         assert outcome is not homes.Outcome.NOT_RUN or not ran, (
-            f"'not run' is said of {key}, which ran"
+            f"{key} is reported as not run, but it ran"
         )
 
 
 class HomeTest(unittest.TestCase):
     def setUp(self) -> None:
         self.world = make_world()
-        self.bookings = Bookings(self.world)
+        self.callers = ServiceCallers(self.world)
 
     def host(self, name: str) -> virtual.Host:
         return self.world.hosts[ids.NodeId(name)]
@@ -132,41 +136,41 @@
         return prefix + unique
 
     def test_retry_at_another_entry_gets_the_first_answer(self) -> None:
-        # A studio's reorder is answered, the answer is lost on the way,
-        # and the shop's system tries again through another entry.
+        # Guards against a second run: the answer is lost on its way to
+        # the caller, which retries at another entry.
         key = self.make_key("e1")
-        first = self.bookings.offer("e1", key)
-        again = self.bookings.offer("e3", key)
+        first = self.callers.offer("e1", key)
+        again = self.callers.offer("e3", key)
         assert first is not None and again is not None
         self.assertEqual(Kind.DISPATCH, first.kind)
         self.assertEqual(Kind.REPLAY, again.kind)
         assert again.answer is not None
         self.assertEqual(key.encode(), again.answer.body)
-        self.assertEqual({key: 1}, self.bookings.runs)
+        self.assertEqual({key: 1}, self.callers.runs)
 
     def test_home_that_restarted_runs_nothing_again(self) -> None:
-        # The home dispatches a booking and dies; its successor at the
-        # same address knows nothing. Running it again would book the lot
-        # twice: the retry is told "unknown".
+        # Guards against a second run: the home dispatches a call and
+        # dies, and the new process at its address does not know the key.
+        # The outcome must be "unknown".
         key = self.make_key("e1")
-        self.bookings.offer("e1", key, "hangs")
+        self.callers.offer("e1", key, "hangs")
         self.host("e1").kill()
         self.host("e1").restart()
         self.world.run(self.world.now + 6.0)
         for name in ("e1", "e2", "e3"):
-            decision = self.bookings.offer(name, key)
+            decision = self.callers.offer(name, key)
             assert decision is not None
             self.assertEqual(Kind.UNKNOWN, decision.kind)
-        self.assertEqual({key: 1}, self.bookings.runs)
+        self.assertEqual({key: 1}, self.callers.runs)
 
     def test_planned_stop_hands_the_answers_over(self) -> None:
-        # An entry is stopped for an update. A shop whose answer was lost
-        # asks again: it must get the answer, not "unknown"; and a key
-        # that was never used is truly "not run".
+        # Guards against losing stored answers when an entry is stopped
+        # for an update: a retry must get its answer, not "unknown", and
+        # a key that was never used must be "not run".
         done, hung = self.make_key("e1", "done"), self.make_key("e1", "hung")
         unused = self.make_key("e1", "unused")
-        self.bookings.offer("e1", done)
-        self.bookings.offer("e1", hung, "hangs")
+        self.callers.offer("e1", done)
+        self.callers.offer("e1", hung, "hangs")
         host = self.host("e1")
         host.perform(host.node.leave(self.world.now))
         host.perform(host.node.homes.hand_over(self.world.now))
@@ -180,40 +184,41 @@
         self.world.run(self.world.now + 0.5)
         host.kill()
         self.world.run(self.world.now + 10.0)
-        wanted = {
+        expected = {
             done: Kind.REPLAY,
             hung: Kind.UNKNOWN,
             unused: Kind.NOT_RUN,
         }
-        for key, kind in wanted.items():
+        for key, kind in expected.items():
             for name in ("e2", "e3"):
-                decision = self.bookings.offer(name, key)
+                decision = self.callers.offer(name, key)
                 assert decision is not None
                 self.assertEqual(kind, decision.kind)
 
     def test_call_under_way_is_not_run_beside_itself(self) -> None:
-        # The first try still runs when the impatient second one comes.
+        # Guards against a second run: the caller retries while the first
+        # attempt is still running.
         key = self.make_key("e2")
-        self.bookings.offer("e2", key, "hangs")
-        decision = self.bookings.offer("e1", key)
+        self.callers.offer("e2", key, "hangs")
+        decision = self.callers.offer("e1", key)
         assert decision is not None
         self.assertEqual(Kind.IN_PROGRESS, decision.kind)
         self.assertGreater(decision.retry_after, 0)
 
     def test_refused_call_may_be_tried_again(self) -> None:
-        # The service refused the call before running it; the caller was
-        # told "not run", so a retry must be able to run it.
+        # The service refuses the call before running it and the caller
+        # gets "not run", so a retry must be able to run it.
         key = self.make_key("e1")
-        self.bookings.offer("e1", key, "refused")
-        decision = self.bookings.offer("e2", key)
+        self.callers.offer("e1", key, "refused")
+        decision = self.callers.offer("e2", key)
         assert decision is not None
-        self.assertEqual({key: 1}, self.bookings.runs)
+        self.assertEqual({key: 1}, self.callers.runs)
 
     def test_key_stands_for_one_request(self) -> None:
-        # A caller's bug uses one key for two orders. Answering the
-        # second with the first one's answer would lose it silently.
+        # Guards against a lost call: a faulty caller uses one key for two
+        # requests. The second must not get the answer of the first.
         key = ids.KeyText(self.make_key("e1"))
-        self.bookings.offer("e1", key)
+        self.callers.offer("e1", key)
         host = self.host("e1")
         host.tell(homes.CallOffered(1, key, _SCOPE, 2))
         decision = host.replies[1]
@@ -221,8 +226,8 @@
         self.assertEqual(Kind.MISMATCH, decision.kind)
 
     def test_own_key_is_bound_to_one_home(self) -> None:
-        # Two entries get the same key of a caller's own at the same
-        # moment; the create-if-absent lets one of them be the home.
+        # Guards against two homes: two entries get the same caller's own
+        # key at the same time. The create-if-absent lets one of them win.
         for ticket, name in ((1, "e1"), (2, "e3")):
             self.host(name).tell(
                 homes.CallOffered(ticket, ids.KeyText("mine"), _SCOPE, 1)
@@ -235,66 +240,67 @@
         self.assertEqual([Kind.DISPATCH, Kind.FORWARD], kinds)
 
     def test_own_key_is_refused_while_the_platform_is_down(self) -> None:
-        # Without the platform nobody can say whose the key is: it may
-        # have run at its home. Nothing is run now, "not run" is not
-        # said, and the caller is told of issued keys.
+        # Guards against a wrong "not run": while the platform is down the
+        # home cannot be looked up, and the call may have run there.
+        # Nothing is run now, and the reason names issued keys.
         self.world.platform.down = True
-        decision = self.bookings.offer("e1", "mine")
+        decision = self.callers.offer("e1", "mine")
         assert decision is not None
         self.assertEqual(Kind.UNKNOWN, decision.kind)
         self.assertGreater(decision.retry_after, 0)
         self.assertIn("/v1/entries", decision.reason)
-        self.assertEqual({}, self.bookings.runs)
+        self.assertEqual({}, self.callers.runs)
 
     def test_issued_key_needs_no_platform(self) -> None:
-        # The gate books lots while the platform is down.
+        # Calls with issued keys must work while the platform is down.
         self.world.platform.down = True
         key = self.make_key("e1")
         before = dict(self.world.platform.calls)
-        decision = self.bookings.offer("e1", key)
+        decision = self.callers.offer("e1", key)
         assert decision is not None
         self.assertEqual(Kind.DISPATCH, decision.kind)
         writes = self.world.platform.calls.get("WriteObject", 0)
         self.assertEqual(before.get("WriteObject", 0), writes)
 
     def test_forgotten_key_is_never_run_again(self) -> None:
-        # A retry comes after the home has forgotten the key's period.
+        # Guards against a second run: a retry comes after the home has
+        # removed the key's period.
         world = make_world(
             extra="[requests]\nkey_period = 2\nkey_periods = 2\n"
         )
-        bookings = Bookings(world)
+        callers = ServiceCallers(world)
         host = world.hosts[ids.NodeId("e1")]
         key = host.node.homes.make_prefix(world.now) + "o1"
-        bookings.offer("e1", key)
+        callers.offer("e1", key)
         world.run(world.now + 20.0)
-        decision = bookings.offer("e1", key)
+        decision = callers.offer("e1", key)
         assert decision is not None
         self.assertEqual(Kind.UNKNOWN, decision.kind)
-        self.assertEqual({key: 1}, bookings.runs)
+        self.assertEqual({key: 1}, callers.runs)
 
 
 class AtMostOnce(stateful.RuleBasedStateMachine):
-    """Homes pause, die and restart; compared with a plain dictionary."""
+    """Homes pause, die and restart; no key may run more than once."""
 
     names = st.sampled_from(sorted(_ENTRIES))
-    fates = st.sampled_from(("done", "refused", "lost", "hangs"))
+    results = st.sampled_from(("done", "refused", "lost", "hangs"))
 
     @stateful.initialize(seed=st.integers(0, 100))
     def start(self, seed: int) -> None:
         self.world = make_world(seed)
-        self.bookings = Bookings(self.world)
+        self.callers = ServiceCallers(self.world)
         self.keys: list[str] = ["own-1", "own-2"]
 
     @stateful.rule(name=names)
     def issue(self, name: str) -> None:
-        homes_ = self.world.hosts[ids.NodeId(name)].node.homes
-        prefix = homes_.make_prefix(self.world.now)
+        key_homes = self.world.hosts[ids.NodeId(name)].node.homes
+        prefix = key_homes.make_prefix(self.world.now)
         self.keys.append(f"{prefix}n{len(self.keys)}")
 
-    @stateful.rule(name=names, place=st.integers(0, 50), fate=fates)
-    def offer(self, name: str, place: int, fate: str) -> None:
-        key = self.keys[place % len(self.keys)]
-        decision = self.bookings.offer(name, key, fate)
+    @stateful.rule(name=names, index=st.integers(0, 50), result=results)
+    def offer(self, name: str, index: int, result: str) -> None:
+        key = self.keys[index % len(self.keys)]
+        decision = self.callers.offer(name, key, result)
         if decision is not None and decision.kind is Kind.REPLAY:
             assert decision.answer is not None
             assert decision.answer.body == key.encode()
@@ -317,9 +323,9 @@
 
     @stateful.invariant()
     def runs_at_most_once(self) -> None:
-        if not hasattr(self, "bookings"):
+        if not hasattr(self, "callers"):
             return
-        for key, runs in self.bookings.runs.items():
+        for key, runs in self.callers.runs.items():
             assert runs <= 1, f"{key} ran {runs} times"
 
 
@@ -362,16 +368,18 @@
         demands: dict[str, float],
         weights: dict[str, float],
     ) -> None:
-        # One large organisation sends ten times its share. The others
-        # must get what they ask for up to their own shares.
-        found = fairness.divide(capacity, demands, weights)
-        slack = 1e-6 * (1 + capacity)
-        self.assertLessEqual(sum(found.values()), capacity + slack)
-        total = sum(weights.get(name, 1.0) for name in demands)
+        # Guards against starvation: a large organisation sends ten times
+        # its share. The others must get their demand up to their shares.
+        shares = fairness.divide(capacity, demands, weights)
+        tolerance = 1e-6 * (1 + capacity)
+        self.assertLessEqual(sum(shares.values()), capacity + tolerance)
+        total_weight = sum(weights.get(name, 1.0) for name in demands)
         for name, demand in demands.items():
-            self.assertLessEqual(found[name], demand + slack)
-            share = capacity * weights.get(name, 1.0) / total
-            self.assertGreaterEqual(found[name], min(demand, share) - slack)
+            self.assertLessEqual(shares[name], demand + tolerance)
+            fair_share = capacity * weights.get(name, 1.0) / total_weight
+            self.assertGreaterEqual(
+                shares[name], min(demand, fair_share) - tolerance
+            )
 
 
 class RetryTest(unittest.TestCase):
@@ -389,7 +397,8 @@
         return budget.decide(failure, 0.0)
 
     def test_what_may_have_run_is_not_repeated(self) -> None:
-        # A lot booking's connection breaks after the request was sent.
+        # Guards against a second run: the connection breaks after a
+        # request that is not idempotent was sent.
         budget = retries.Retries(0.1, 3)
         decided = self.decide(budget, may_have_run=True, idempotent=False)
         self.assertEqual(retries.RetryDecision.UNSAFE, decided)
@@ -397,50 +406,51 @@
         self.assertEqual(retries.RetryDecision.RETRY, decided)
 
     def test_retries_stay_a_share_of_the_requests(self) -> None:
-        # All upstreams are gone and every request fails at once.
+        # Guards against retries that multiply the load when all upstreams
+        # are down and every request fails immediately.
         budget = retries.Retries(0.1, 3)
-        spent = 0
+        retried = 0
         for _ in range(1000):
             budget.earn()
             decided = self.decide(budget)
-            spent += decided is retries.RetryDecision.RETRY
-        self.assertLessEqual(spent, 110)
+            retried += decided is retries.RetryDecision.RETRY
+        self.assertLessEqual(retried, 110)
 
 
 class BreakerTest(unittest.TestCase):
     def test_one_trial_at_a_time(self) -> None:
-        # An upstream is back after an outage; a thousand requests that
-        # all try it at once would take it down again.
-        found = breakers.Breakers()
+        # Guards against overload after an outage: a thousand requests
+        # that all try the upstream at once would take it down again.
+        circuit_breakers = breakers.Breakers()
         for _ in range(5):
-            self.assertTrue(found.allows("u", 0.0))
-            found.fail("u", 0.0)
-        self.assertFalse(found.allows("u", 0.5))
-        self.assertTrue(found.allows("u", 1.1))
-        found.start("u")
-        self.assertFalse(found.allows("u", 1.1))
-        found.fail("u", 1.2)
-        self.assertFalse(found.allows("u", 2.5))
-        self.assertTrue(found.allows("u", 3.3))
-        found.start("u")
-        found.succeed("u")
-        self.assertTrue(found.allows("u", 3.3))
+            self.assertTrue(circuit_breakers.allows("u", 0.0))
+            circuit_breakers.record_failure("u", 0.0)
+        self.assertFalse(circuit_breakers.allows("u", 0.5))
+        self.assertTrue(circuit_breakers.allows("u", 1.1))
+        circuit_breakers.record_start("u")
+        self.assertFalse(circuit_breakers.allows("u", 1.1))
+        circuit_breakers.record_failure("u", 1.2)
+        self.assertFalse(circuit_breakers.allows("u", 2.5))
+        self.assertTrue(circuit_breakers.allows("u", 3.3))
+        circuit_breakers.record_start("u")
+        circuit_breakers.record_success("u")
+        self.assertTrue(circuit_breakers.allows("u", 3.3))
 
     def test_straggler_gets_trials_only(self) -> None:
-        # One machine answers ten times later than its peers.
-        found = latency.Latencies()
+        # One upstream takes ten times as long as its peers.
+        latencies = latency.Latencies()
         for name in "abcd":
             for _ in range(5):
-                found.note(name, 10.0 if name == "a" else 1.0)
-        found.set_typical("t", list("abcd"))
-        found.start("a", 0.0)
-        self.assertFalse(found.allows("t", "a", 4.0))
-        self.assertTrue(found.allows("t", "a", 5.0))
-        self.assertTrue(found.allows("t", "b", 4.0))
+                latencies.record_duration(name, 10.0 if name == "a" else 1.0)
+        latencies.update_median("t", list("abcd"))
+        latencies.record_start("a", 0.0)
+        self.assertFalse(latencies.allows("t", "a", 4.0))
+        self.assertTrue(latencies.allows("t", "a", 5.0))
+        self.assertTrue(latencies.allows("t", "b", 4.0))
 
 
 class AdmissionTest(unittest.TestCase):
-    """One entry before one service instance with two slots."""
+    """One entry and one service instance with two slots."""
 
     def setUp(self) -> None:
         extra = (
@@ -457,7 +467,10 @@
         self._ticket = 0
 
     def ask(
-        self, owner: str = "big", weight: float = 1.0, seconds: float = 60.0
+        self,
+        organisation: str = "big",
+        weight: float = 1.0,
+        seconds: float = 60.0,
     ) -> int:
         self._ticket += 1
         self.host.tell(
@@ -465,7 +478,7 @@
                 ticket=self._ticket,
                 attempt=ids.AttemptId(f"a{self._ticket}"),
                 service=ids.ServiceName("booth"),
-                organisation=ids.OrganisationName(owner),
+                organisation=ids.OrganisationName(organisation),
                 weight=weight,
                 deadline=self.world.now + seconds,
             )
@@ -487,8 +500,9 @@
         self.assertTrue(self.is_routed(third))
 
     def test_small_organisation_is_not_starved(self) -> None:
-        # A large customer has filled the queue; a small one asks once.
-        # Served in order of arrival it would wait behind all of them.
+        # Guards against starvation: a large organisation has filled the
+        # queue. In order of arrival the single request of a small one
+        # would wait behind all of them.
         running = [self.ask(), self.ask()]
         waiting = [self.ask() for _ in range(3)]
         small = self.ask("small")
@@ -498,41 +512,41 @@
         self.assertFalse(self.is_routed(waiting[2]))
 
     def test_worthier_kind_takes_the_place_of_a_lesser(self) -> None:
-        # The queue is full of catalogue replies when a counter question
-        # comes. One of them is told at once to come back later.
+        # The queue is full when a request of a higher weight comes. One
+        # queued request is refused at once, with a retry-after.
         for _ in range(2):
             self.ask()
-        lesser = [self.ask(weight=1.0) for _ in range(4)]
-        worthier = self.ask(weight=3.0)
-        refused = [n for n in lesser if n in self.host.replies]
+        lighter = [self.ask(weight=1.0) for _ in range(4)]
+        heavier = self.ask(weight=3.0)
+        refused = [ticket for ticket in lighter if ticket in self.host.replies]
         self.assertEqual(1, len(refused))
         answer = self.host.replies[refused[0]]
         assert isinstance(answer, routing.Refusal)
         self.assertGreater(answer.retry_after, 0)
-        self.assertNotIn(worthier, self.host.replies)
+        self.assertNotIn(heavier, self.host.replies)
 
     def test_request_given_up_on_is_told_at_once(self) -> None:
-        # Holding a refusal back so that the caller does not ask again is
-        # not accepted: it comes the moment the wait is hopeless.
+        # Guards against holding back a refusal to delay the caller's
+        # retry: it must come as soon as the deadline cannot be met.
         for _ in range(2):
             self.ask()
         hopeless = self.ask(seconds=3.0)
-        told: list[float] = []
+        refused_at: list[float] = []
 
-        def is_told() -> bool:
-            if hopeless in self.host.replies and not told:
-                told.append(self.world.now)
-            return bool(told)
+        def is_refused() -> bool:
+            if hopeless in self.host.replies and not refused_at:
+                refused_at.append(self.world.now)
+            return bool(refused_at)
 
         started = self.world.now
-        self.world.run(started + 10.0, stop=is_told)
-        self.assertTrue(told)
-        self.assertLess(told[0] - started, 3.0)
+        self.world.run(started + 10.0, stop=is_refused)
+        self.assertTrue(refused_at)
+        self.assertLess(refused_at[0] - started, 3.0)
 
     def test_unknown_profile_leaves_nothing_behind(self) -> None:
-        # A caller asks for a profile that does not exist. The entry kept
-        # a queue for it, and the next tick failed on it: all probing
-        # stopped, and a moment later no replica could be used.
+        # Guards against a queue for a profile that does not exist: the
+        # next tick failed on it, all probing stopped, and a moment later
+        # no replica could be used.
         self.host.tell(
             routing.RouteRequested(
                 ticket=1,
@@ -548,8 +562,8 @@
         self.assertTrue(self.is_routed(self.ask()))
 
     def test_ended_attempt_ends_once(self) -> None:
-        # An answer that comes after its attempt was given up must not
-        # free a slot a second time.
+        # Guards against freeing a slot twice: an answer arrives after
+        # its attempt was ended.
         first = self.ask()
         self.end(first)
         self.end(first)
@@ -559,18 +573,18 @@
 
 
 class RouterTest(unittest.TestCase):
-    """Against a naive router that knows every load exactly."""
+    """Compared with a naive router that knows every load exactly."""
 
     def run_load(self, choose: abc.Callable[..., str], count: int) -> int:
-        """Return the largest load that a way of choosing leaves."""
+        """Return the largest load after a number of choices."""
         loads = dict.fromkeys((f"s{n}" for n in range(1, 11)), 0)
         for number in range(count):
             loads[choose(loads, number)] += 1
         return max(loads.values())
 
     def test_stays_near_perfect_knowledge(self) -> None:
-        # The reports never change in this time, as when they lag. The
-        # naive router sends each request to the truly least loaded.
+        # The load reports do not change meanwhile, as when they lag. The
+        # naive router sends each request to the least loaded upstream.
         extra = "[service booth]\nconcurrency = 1000\n"
         world = sites.make_site({"e1": "a"}, (), extra=extra)
         for number in range(1, 11):
@@ -578,7 +592,7 @@
         world.run(5.0)
         host = world.hosts[ids.NodeId("e1")]
 
-        def ours(loads: dict[str, int], number: int) -> str:
+        def choose_by_router(loads: dict[str, int], number: int) -> str:
             request = routing.RouteRequested(
                 ticket=number,
                 attempt=ids.AttemptId(f"a{number}"),
@@ -588,17 +602,18 @@
             assert isinstance(answer, routing.Route)
             return answer.subject
 
-        def naive(loads: dict[str, int], number: int) -> str:
+        def choose_least_loaded(loads: dict[str, int], number: int) -> str:
             return min(loads, key=lambda name: (loads[name], name))
 
-        best = self.run_load(naive, 500)
-        self.assertLessEqual(self.run_load(ours, 500), best + 5)
+        best = self.run_load(choose_least_loaded, 500)
+        self.assertLessEqual(self.run_load(choose_by_router, 500), best + 5)
 
 
 class ReportLagTest(unittest.TestCase):
     def test_own_requests_count_between_two_reports(self) -> None:
-        # Reports lag; without counting its own requests an entry would
-        # send a whole burst to whoever looked idle half a second ago.
+        # Guards against overload by lagging reports: without counting its
+        # own requests an entry would send a whole burst to the upstream
+        # that looked idle half a second ago.
         world = sites.make_site(
             {"e1": "a"}, (), extra="[service booth]\nconcurrency = 4\n"
         )
@@ -620,9 +635,9 @@
 
 class StaleLedgerTest(unittest.TestCase):
     def test_lost_push_of_a_drain_stops_requests(self) -> None:
-        # A replica drains, but one entry loses the push and still sees
-        # it as serving, with fresh evidence. The evidence names a newer
-        # ledger, so the entry holds back until it has it.
+        # Guards against requests to a draining replica: an entry loses
+        # the push and still sees it as serving, with fresh evidence. The
+        # evidence names a newer ledger, so the entry waits for that.
         world = sites.make_site(
             {"e1": "a"},
             [sites.DomainSpec(name="f", datacentre="a", engines=2)],
@@ -632,24 +647,25 @@
         sites.store_profile(world, sites.parse(text))
         world.run(30.0)
         node = world.hosts[ids.NodeId("e1")].node
-        held = node.view.domains["f"]
-        replica = held.replicas[0]
-        self.assertTrue(node.evidence.may_use(held, replica, world.now))
+        ledger = node.view.domains["f"]
+        replica = ledger.replicas[0]
+        self.assertTrue(node.evidence.may_use(ledger, replica, world.now))
         newer = wire.Evidence(
             subject=replica.id,
             verdict=wire.Verdict.WHOLE,
             generation=replica.generation,
-            serial=held.serial + 1,
+            serial=ledger.serial + 1,
         )
-        told = messages.Delivered(ids.NodeId("other"), newer)
-        node.handle(told, world.now)
-        self.assertFalse(node.evidence.may_use(held, replica, world.now))
+        delivered = messages.Delivered(ids.NodeId("other"), newer)
+        node.handle(delivered, world.now)
+        self.assertFalse(node.evidence.may_use(ledger, replica, world.now))
 
 
 class OwnFailureTest(unittest.TestCase):
     def test_own_failed_connect_counts_until_a_newer_look(self) -> None:
-        # A replica's leader refuses this entry's connection while the
-        # observers' last look, a moment ago, was good.
+        # Guards against repeated failed connections: a replica's leader
+        # refuses this entry's connection, while the observers' last
+        # probe, a moment ago, succeeded.
         world = make_world()
         node = world.hosts[ids.NodeId("e1")].node
         now = world.now
