--- a/bench/overload.py
+++ b/bench/overload.py
@@ -443,7 +443,7 @@
             return
         self.outcome.retries += int(self._counts)
         job.excluded = (*job.excluded, replica.name)
-        wait = retries.wait_before(job.attempts)
+        wait = retries.compute_backoff(job.attempts)
         self._after(wait, self._send, job)
 
     _died_at = 1e9
--- a/currantwall/coordination/requests/retries.py
+++ b/currantwall/coordination/requests/retries.py
@@ -76,7 +76,7 @@
             return RetryDecision.UNSAFE
         if failure.attempts >= self._max_attempts:
             return RetryDecision.EXHAUSTED
-        if now + wait_before(failure.attempts) >= failure.deadline:
+        if now + compute_backoff(failure.attempts) >= failure.deadline:
             return RetryDecision.DEADLINE
         if self._tokens < 1.0:
             return RetryDecision.NO_BUDGET
@@ -84,7 +84,7 @@
         return RetryDecision.RETRY
 
 
-def wait_before(attempts: int) -> float:
+def compute_backoff(attempts: int) -> float:
     """Return the seconds to wait before the next attempt.
 
     Args:
--- a/currantwall/transport/callers.py
+++ b/currantwall/transport/callers.py
@@ -151,7 +151,7 @@
         decision = self._retries.decide(failure, self._clock.now())
         self._meter.add(actions.Counter.RETRIES.value, 1, decision.value)
         if decision is retries.RetryDecision.RETRY:
-            eventlet.sleep(retries.wait_before(failure.attempts))
+            eventlet.sleep(retries.compute_backoff(failure.attempts))
             return None
         unknown = failure.may_have_run and not failure.idempotent
         if unknown:
