--- a/currantwall/coordination/requests/attempts.py
+++ b/currantwall/coordination/requests/attempts.py
@@ -1,11 +1,12 @@
-"""What to do when an upstream did not answer a request as it should.
-
-The failures it answers: upstreams that vanish, fall silent, refuse or
-break off while callers wait, in a fleet where some always do. What has
-not run goes elsewhere at once. What may have run goes elsewhere only if
-the route allows it, at most as often as the route says, and while the
-nodes' common budget for repeats lasts. Everything else gets its final
-answer now: waiting longer would only keep the caller from trying again.
+"""Timeouts and retries of requests that an upstream fails to answer.
+
+Failures: in a large fleet some upstreams always vanish, fall silent,
+refuse requests or break off an answer while callers wait. A request that
+has not run is sent to another upstream at once. One that may have run is
+repeated only if its route allows that, at most as often as the route
+says, and only within the repeat budget that all nodes share. Every other
+request gets its final answer immediately: waiting longer would only keep
+the caller from trying again.
 """
 
 import enum
@@ -25,54 +26,56 @@
     "find_lateness",
 ]
 
-# Sends of one request at most, those included that certainly ran nowhere.
-_SENDS_LIMIT = 4
-# Seconds of silence in the middle of a stream after which its replica is
-# looked at. A working one sends an event every 45 to 60 ms, with a long
-# prompt read between two of them 150 ms.
+# Most attempts of one request, including those that certainly did not run.
+_MAX_SENDS = 4
+# Seconds of silence between two events of a stream after which its replica
+# is probed. A working replica sends an event every 45 to 60 ms, or after
+# 150 ms if it reads a long prompt in between.
 DOUBT = 0.15
-# Seconds of silence in the middle of a stream after which it goes on
-# elsewhere without waiting for the verdict.
+# Seconds of silence between two events of a stream after which the stream
+# is resumed at another replica without waiting for the probe's result.
 STALL = 0.5
-# The same before the first event. A full replica takes half a second to
-# begin: giving it up then only moves the request to the next full one.
+# Seconds of silence before the first event after which the replica is
+# probed.
 FIRST_DOUBT = 0.25
-_FIRST_FACTOR = 4.0
-_FIRST_LEAST = 1.0
-
-
-# The same for whole answers of plain services: most take 45 ms, one in a
-# hundred five times as long.
-_ANSWER_FACTOR = 1.5
-_ANSWER_LEAST = 0.4
-
-
-# Seconds in which a node that starts learns the configuration.
-_STARTING = 0.5
-# Seconds after a node's start in which it holds requests. Most callers
-# come back once only, and one that was refused may not be served at all.
+# Timeout before the first event: a multiple of the route's target, and a
+# minimum in seconds. A full replica takes half a second to begin: a
+# shorter timeout only moves the request to the next full one.
+_FIRST_EVENT_TIMEOUT_FACTOR = 4.0
+_MIN_FIRST_EVENT_TIMEOUT = 1.0
+# Timeout of whole answers of plain services: a multiple of the route's
+# target, and a minimum in seconds. Most answers take 45 ms, one in a
+# hundred takes five times as long.
+_ANSWER_TIMEOUT_FACTOR = 1.5
+_MIN_ANSWER_TIMEOUT = 0.4
+# Seconds that a starting node needs to receive the configuration.
+_CONFIGURATION_SECONDS = 0.5
+# Seconds after its start in which a node holds requests back. Most callers
+# try again only once, so a refused request may never be served.
 _START_HOLD = 1.0
-# How long callers wait for an event: so many seconds, objectives for the
-# first event, or longest pauses, whichever is the longest.
-_BORNE_LEAST = 2.0
-_BORNE_TARGETS = 4.0
-_BORNE_GAPS = 8.0
+# How long callers wait for an event: the longest of a number of seconds, a
+# multiple of the route's target for the first event, and a multiple of its
+# longest allowed pause.
+_MIN_PATIENCE = 2.0
+_PATIENCE_TARGETS = 4.0
+_PATIENCE_GAPS = 8.0
 
 
 class Failure(enum.Enum):
     """How an attempt failed."""
 
-    # No connection: nothing of the request left this node.
+    # No connection was made, so nothing of the request was sent.
     UNREACHED = "unreached"
     # The upstream says that it did not run the request.
     NOT_RUN = "not_run"
-    # Another server answered, or one that no longer leads its replica.
+    # Another server answered at the address, or an instance that no longer
+    # leads its replica.
     MISDIRECTED = "misdirected"
-    # No answer, or one that cannot be trusted; it may have run.
+    # No answer, or an invalid one; the request may have run.
     LOST = "lost"
-    # The upstream fell silent; it may run the request later.
+    # The upstream went silent; it may still run the request.
     STALLED = "stalled"
-    # The upstream answered with a failure of its own.
+    # The upstream answered with an error of its own.
     ERROR = "error"
 
     @property
@@ -91,7 +94,7 @@
     Attributes:
         sends: Attempts made.
         runs: Attempts that may have run.
-        started: Whether the caller has got a part of the answer.
+        started: Whether the caller has received a part of the answer.
     """
 
     sends: int = 0
@@ -100,41 +103,42 @@
 
 
 class Verdict(enum.Enum):
-    """What follows a failed attempt."""
+    """What to do after a failed attempt."""
 
+    # Send the request to another upstream.
     REPEAT = "repeat"
-    # The same, paid for from the common budget.
+    # The same, provided that the shared budget still has a repeat to take.
     REPEAT_PAID = "repeat_paid"
     GIVE_UP = "give_up"
 
 
 class Ending(enum.Enum):
-    """What a caller is told of a request that got no answer."""
+    """The error that a caller gets for a request without an answer."""
 
-    # It has not run and won't: the caller may repeat it.
+    # It has not run and will not run: the caller may repeat it.
     REFUSED = "refused"
     # The upstream's answer was lost.
     BAD_GATEWAY = "bad_gateway"
-    # Time ran out while it may have run.
+    # The time limit passed, and the request may have run.
     TIMED_OUT = "timed_out"
 
 
 class Lateness(enum.Enum):
-    """What made an answer late."""
+    """Which objective of its route an answer missed."""
 
-    # The first event, or a whole answer, came after the objective.
+    # The first event, or the whole answer, came after the target.
     FIRST = "first"
-    # Two events were further apart than the route allows.
+    # A pause between two events was longer than the route allows.
     PAUSE = "pause"
 
 
 def find_lateness(
     route: routes.Route, first: float, pause: float
 ) -> Lateness | None:
-    """Return what made an answer late, None if it was on time.
+    """Return which objective an answer missed, None if it was in time.
 
     Args:
-        route: Its route; objectives that it lacks are always met.
+        route: Its route; an objective of 0 is always met.
         first: Seconds to the first event, or to the whole answer.
         pause: Longest time between two events, in seconds.
     """
@@ -146,20 +150,28 @@
 
 
 def wait_for_answer(route: routes.Route) -> float | None:
-    """Return the seconds without an answer that count as a stall.
+    """Return the seconds after which a whole answer counts as stalled.
 
-    For whole answers, of which nothing is seen before their end.
+    Nothing of such an answer arrives before it is complete. None where a
+    second attempt is not allowed: then it is better to wait for the one
+    that may have run.
     """
     if not route.is_idempotent or route.attempts < 2:
         return None
-    return max(_ANSWER_LEAST, _ANSWER_FACTOR * route.target)
+    return max(_MIN_ANSWER_TIMEOUT, _ANSWER_TIMEOUT_FACTOR * route.target)
 
 
 def decide(
     route: routes.Route, failure: Failure, progress: Progress
 ) -> Verdict:
-    """Return whether a request is sent to another upstream."""
-    if progress.sends >= _SENDS_LIMIT:
+    """Return whether to send a request to another upstream.
+
+    Args:
+        route: Its route.
+        failure: How its last attempt failed.
+        progress: Its attempts so far, including the failed one.
+    """
+    if progress.sends >= _MAX_SENDS:
         return Verdict.GIVE_UP
     if not failure.may_have_run and progress.runs == 0:
         return Verdict.REPEAT_PAID
@@ -171,52 +183,61 @@
 
 
 def end_unserved(progress: Progress, in_time: bool) -> Ending:
-    """Return the final answer of a request that got none."""
+    """Return the error for a request that no upstream answered.
+
+    Args:
+        progress: Its attempts.
+        in_time: Whether its time limit has not passed yet.
+    """
     if progress.runs == 0:
         return Ending.REFUSED
     return Ending.BAD_GATEWAY if in_time else Ending.TIMED_OUT
 
 
-def wait_for_start(lasted: float) -> float:
-    """Return the seconds that a request waits for its node to know enough.
+def wait_for_start(uptime: float) -> float:
+    """Return the seconds for which a starting node may hold a request.
 
     The load pattern: all nodes restart at once, and callers connect as
-    soon as they listen. The configuration and the list of instances come
-    a moment later; a refused request comes back after its objective, one
-    that waits is served in time.
+    soon as the nodes listen. The configuration and the list of instances
+    arrive a moment later. A request that waits for them is served in time;
+    one that is refused comes back after its target.
 
     Args:
-        lasted: Seconds since the node started.
+        uptime: Seconds since the node started.
     """
-    return max(0.0, _START_HOLD - lasted)
+    return max(0.0, _START_HOLD - uptime)
 
 
-def hint_start(lasted: float) -> float:
-    """Return the seconds until a node knows a configuration, or so.
+def hint_start(uptime: float) -> float:
+    """Return an estimate of the seconds until a node has a configuration.
 
-    Failure: all nodes start while the store is down, and callers that are
-    told to come back soon are refused again, which they bear only once.
-    An outage that has lasted longer will last longer.
+    Failure: all nodes start while the store is down. Callers that are told
+    to retry soon are refused again, and most retry only once. The longer
+    an outage has lasted, the longer it is expected to last.
 
     Args:
-        lasted: Seconds since the node started.
+        uptime: Seconds since the node started.
     """
-    return max(_STARTING, lasted)
+    return max(_CONFIGURATION_SECONDS, uptime)
 
 
 def bear_silence(route: routes.Route) -> float:
-    """Return the seconds without an event after which callers leave."""
+    """Return the seconds without an event after which callers give up."""
     return max(
-        _BORNE_LEAST, _BORNE_TARGETS * route.target, _BORNE_GAPS * route.gap
+        _MIN_PATIENCE,
+        _PATIENCE_TARGETS * route.target,
+        _PATIENCE_GAPS * route.gap,
     )
 
 
 def wait_for_first(route: routes.Route) -> float | None:
-    """Return the seconds before the first event that count as a stall.
+    """Return the seconds after which a missing first event is a stall.
 
     None where a second attempt is not allowed: then it is better to wait
     for the one that may have run.
     """
     if not route.is_idempotent or route.attempts < 2:
         return None
-    return max(_FIRST_LEAST, _FIRST_FACTOR * route.target)
+    return max(
+        _MIN_FIRST_EVENT_TIMEOUT, _FIRST_EVENT_TIMEOUT_FACTOR * route.target
+    )
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -114,7 +114,7 @@
     Mutant(
         "nodes that start refuse at once",
         f"{_COORDINATION}/requests/attempts.py",
-        "    return max(0.0, _START_HOLD - lasted)\n",
+        "    return max(0.0, _START_HOLD - uptime)\n",
         "    return 0.0\n",
         "tests.test_gateway.TroubleTest"
         ".test_callers_that_come_at_once_to_a_node_that_starts_are_served",
