--- a/currantwall/coordination/requests/backlog.py
+++ b/currantwall/coordination/requests/backlog.py
@@ -1,16 +1,17 @@
-"""Requests that wait at a gateway for a place at a replica.
+"""Requests that wait at a gateway for a slot of a replica.
 
-The load it answers: for some seconds more requests come than the
-replicas can serve in time. Were all of them sent at once, each replica
-would work on requests whose time is up while newer ones, which could
-still be in time, wait behind them: nine in ten are answered, all too
-late, for as long as the load lasts and for some seconds after it.
+The load pattern: for some seconds more requests arrive than the replicas
+can serve in time. If all of them were sent at once, each replica would
+work on requests that are already late, while newer ones that could still
+be in time wait behind them. Nine in ten would be answered, all too late,
+for as long as the load lasts and for some seconds after it.
 
 Requests therefore wait here. Those that can still be in time go first,
-the newest before the others: more come than can be served, and whoever
-begins at the last moment is late as often as not. The others get what is
-left. One that cannot begin before its caller gives up is turned away at
-once, with the time in which the backlog will be worked off.
+the newest before the others: more arrive than can be served, and a
+request that starts at the last moment is late as often as not. The late
+ones get the slots that are left. A request that cannot start before its
+caller gives up is rejected at once, with the time after which the backlog
+will have been worked off.
 """
 
 import collections
@@ -24,35 +25,36 @@
 
 __all__ = ["Backlog", "Kind", "Ticket"]
 
-# Seconds over which starts are counted to tell how fast the queue moves.
+# Seconds over which starts are counted to measure the rate of the queue.
 _RATE_WINDOW = 2.0
-# Part of the first events that come faster than is expected. Failure: with
-# the mean, one surge makes all requests look late from the start, they go
-# in the order of their arrival, and are late indeed.
-_FAST_PART = 0.25
-# Part of the expected time by which one first event moves it.
-_STEP = 0.05
+# Quantile of the times to the first event that is used as the estimate.
+# Failure: with the mean, one surge makes all requests look late from the
+# start, so they go in the order of their arrival and really are late.
+_ESTIMATE_QUANTILE = 0.25
+# Part of the estimate by which one observed time changes it.
+_ESTIMATE_STEP = 0.05
 
 
 class Kind(msgspec.Struct, frozen=True):
-    """What requests of one queue have in common."""
+    """Service and model of requests, which share one queue."""
 
     service: ids.ServiceName
     model: str
 
 
 class Ticket(msgspec.Struct, kw_only=True, eq=False):
-    """One request that waits.
+    """One request that waits for a slot.
 
     Attributes:
         request: Its id; breaks ties between replicas.
-        engine: What the operator tells of the service's engines.
-        gap: Longest pause of its stream that is on time, in seconds.
+        engine: The operator's configuration of the service's engines.
+        gap: Longest allowed pause of its stream, in seconds.
         arrived: Monotonic time at which it began to wait.
-        objective: Monotonic time by which its first event is on time.
-        patience: Monotonic time by which it must begin, or its caller
+        objective: Monotonic time by which its first event must come to be
+            in time.
+        patience: Monotonic time by which it must start; later its caller
             gives up before the first event.
-        rank: Rank among requests that can be in time, 0 first.
+        rank: Rank among requests that can be in time; 0 goes first.
         excluded: Replicas that it has tried, by `Upstream.life`.
     """
 
@@ -67,36 +69,36 @@
     excluded: abc.Container[str] = ()
 
 
-class _FirstEvents:
-    """How long requests of one kind take to their first event."""
+class _FirstEventEstimate:
+    """A running quantile of one kind's seconds to the first event."""
 
-    def __init__(self, expected: float) -> None:
-        self.expected = expected
+    def __init__(self, seconds: float) -> None:
+        self.seconds = seconds
 
     def note(self, seconds: float) -> None:
-        """Move towards the quantile by a step to one side."""
-        faster = seconds < self.expected
-        side = _FAST_PART - 1 if faster else _FAST_PART
-        self.expected *= 1 + _STEP * side
+        """Move the estimate one step towards the quantile."""
+        faster = seconds < self.seconds
+        direction = _ESTIMATE_QUANTILE - 1 if faster else _ESTIMATE_QUANTILE
+        self.seconds *= 1 + _ESTIMATE_STEP * direction
 
 
 class _Queue:
-    """Requests of one kind that wait, and how fast they get places."""
+    """Waiting requests of one kind, and the rate at which they start."""
 
     def __init__(self) -> None:
         self.tickets: list[Ticket] = []
-        # When requests got places, those in time and those that were late.
+        # Times at which requests started, keyed by whether they were late.
         self.starts: dict[bool, collections.deque[float]] = {
             False: collections.deque(),
             True: collections.deque(),
         }
-        self.first: _FirstEvents | None = None
-        # Since when requests have been waiting without a pause.
-        self.since = 0.0
+        self.first_event: _FirstEventEstimate | None = None
+        # Time since which the queue has not been empty.
+        self.nonempty_since = 0.0
 
 
 class Backlog:
-    """The queues of one gateway."""
+    """The queues of one gateway, one for each kind of request."""
 
     def __init__(self) -> None:
         self._queues: dict[Kind, _Queue] = {}
@@ -107,84 +109,86 @@
             queue = self._queues[kind] = _Queue()
         return queue
 
-    # -- Who waits
+    # -- Waiting requests
 
     def add(self, ticket: Ticket) -> None:
-        """Let a request wait."""
+        """Add a request to its queue."""
         queue = self._get(ticket.kind)
         if not queue.tickets:
-            queue.since = ticket.arrived
+            queue.nonempty_since = ticket.arrived
         queue.tickets.append(ticket)
 
     def remove(self, ticket: Ticket) -> None:
-        """Take a request out, if it is there."""
+        """Remove a request from its queue, if it is there."""
         queue = self._get(ticket.kind)
         if ticket in queue.tickets:
             queue.tickets.remove(ticket)
 
     def count(self, kind: Kind) -> int:
-        """Return the requests of a kind that wait."""
+        """Return the number of waiting requests of a kind."""
         queue = self._queues.get(kind)
         return len(queue.tickets) if queue else 0
 
     def list_kinds(self) -> list[Kind]:
-        """Return the kinds of which requests wait."""
-        return [kind for kind, one in self._queues.items() if one.tickets]
+        """Return the kinds that have waiting requests."""
+        return [kind for kind, queue in self._queues.items() if queue.tickets]
 
     def list_tickets(self, kind: Kind, now: float) -> list[Ticket]:
-        """Return the requests of a kind in the order they go."""
+        """Return a kind's waiting requests, the next to start first."""
         queue = self._get(kind)
         if len(queue.tickets) < 2:
             return list(queue.tickets)
         return sorted(
-            queue.tickets, key=lambda one: self._place(one, queue, now)
+            queue.tickets,
+            key=lambda ticket: self._make_sort_key(ticket, queue, now),
         )
 
     def is_late(self, ticket: Ticket, now: float) -> bool:
-        """Return whether a request can no longer be in time."""
+        """Return whether a request that starts now would be late."""
         return now + self.expect_first(ticket.kind) > ticket.objective
 
-    def _place(
+    def _make_sort_key(
         self, ticket: Ticket, queue: _Queue, now: float
     ) -> tuple[bool, int, float]:
+        """Return the key that sorts requests by the order they start in."""
         if self.is_late(ticket, now):
-            # Whose caller gives up first goes first.
+            # The request whose caller gives up first goes first.
             return True, 0, ticket.patience
         return False, ticket.rank, -ticket.objective
 
-    # -- What is expected
+    # -- Estimates
 
     def note_start(self, kind: Kind, late: bool, now: float) -> None:
-        """Note that a request was given a place, in time or late."""
+        """Note that a request was given a slot, in time or late."""
         self._get(kind).starts[late].append(now)
         self.measure_rate(kind, late, now)
 
     def note_first(self, kind: Kind, seconds: float) -> None:
-        """Note how long a request took from its place to its first event."""
+        """Note the time from a request's start to its first event."""
         queue = self._get(kind)
-        if queue.first is None:
-            queue.first = _FirstEvents(seconds)
-        queue.first.note(seconds)
+        if queue.first_event is None:
+            queue.first_event = _FirstEventEstimate(seconds)
+        queue.first_event.note(seconds)
 
-    def assume_first(self, kind: Kind, seconds: float) -> None:
-        """Set what is expected before any first event was seen."""
+    def set_initial_estimate(self, kind: Kind, seconds: float) -> None:
+        """Set the time to the first event, unless an estimate exists."""
         queue = self._get(kind)
-        if queue.first is None:
-            queue.first = _FirstEvents(seconds)
+        if queue.first_event is None:
+            queue.first_event = _FirstEventEstimate(seconds)
 
     def expect_first(self, kind: Kind) -> float:
-        """Return the seconds from a place to the first event."""
-        first = self._get(kind).first
-        if first is None:
+        """Return the estimated seconds from a start to the first event."""
+        estimate = self._get(kind).first_event
+        if estimate is None:
             return 0.0
-        return first.expected
+        return estimate.seconds
 
     def measure_rate(self, kind: Kind, late: bool, now: float) -> float:
-        """Return the requests that get places in a second.
+        """Return the requests that start per second.
 
         Args:
-            kind: Their kind.
-            late: Whether those are meant that are late anyway.
+            kind: Kind of the requests.
+            late: Whether to count late requests or those in time.
             now: Monotonic time.
         """
         starts = self._get(kind).starts[late]
@@ -192,51 +196,54 @@
             starts.popleft()
         return len(starts) / _RATE_WINDOW
 
-    def list_hopeless(self, kind: Kind, now: float) -> list[Ticket]:
-        """Return the requests that cannot begin before they are given up.
+    def list_unservable(self, kind: Kind, now: float) -> list[Ticket]:
+        """Return the requests that cannot start before their callers leave.
 
-        By their place among those that are late, and how fast these have
-        got places: newer ones, which can be in time, always go before. One
-        place in the window is taken for granted.
+        The estimate follows from a request's position among the late ones
+        and from the rate at which late ones have started: newer requests,
+        which can be in time, always go before. The rate is taken to be at
+        least one start in the window.
         """
         rate = self.measure_rate(kind, True, now)
         rate = max(rate, 1 / _RATE_WINDOW)
-        found = []
-        ahead = 0
+        unservable = []
+        late_ahead = 0
         for ticket in self.list_tickets(kind, now):
             late = self.is_late(ticket, now)
-            starts = now + ahead / rate if late else now
+            starts = now + late_ahead / rate if late else now
             if starts > ticket.patience:
-                found.append(ticket)
+                unservable.append(ticket)
             else:
-                ahead += late
-        return found
+                late_ahead += late
+        return unservable
 
     def estimate_retry_after(
-        self, kind: Kind, least: float, now: float
+        self, kind: Kind, minimum: float, now: float
     ) -> float:
-        """Return the seconds after which a request finds room again.
+        """Return the seconds after which a request will find a free slot.
 
-        The time in which the backlog is worked off at the present rate,
-        and no less than it has lasted so far: how long a load goes on is
-        not known, and one that has lasted longer will last longer.
+        This is the time in which the backlog is worked off at the present
+        rate, but no less than the backlog has lasted so far: the end of a
+        load is unknown, and the longer it has lasted, the longer it is
+        expected to last.
 
         Args:
-            kind: The kind of the request.
-            least: Seconds in which the places of a replica come free.
+            kind: Kind of the request.
+            minimum: Least value to return, in seconds: the time in which
+                each slot of a replica becomes free once.
             now: Monotonic time.
         """
         queue = self._get(kind)
         rate = self.measure_rate(kind, False, now)
         rate += self.measure_rate(kind, True, now)
         rate = max(rate, 1 / _RATE_WINDOW)
-        lasted = now - queue.since if queue.tickets else 0.0
-        return max(least, lasted, len(queue.tickets) / rate)
+        lasted = now - queue.nonempty_since if queue.tickets else 0.0
+        return max(minimum, lasted, len(queue.tickets) / rate)
 
-    # -- What other gateways are told
+    # -- Counts reported to other gateways
 
     def list_counts(self) -> dict[Kind, int]:
-        """Return the requests that wait, by kind."""
+        """Return the number of waiting requests, by kind."""
         return {
             kind: len(queue.tickets)
             for kind, queue in self._queues.items()
@@ -244,27 +251,36 @@
         }
 
 
-def divide_places(places: float, own: int, others: int) -> float:
-    """Return the part of some free places that one gateway may take.
+def divide_slots(free: float, own: int, others: int) -> float:
+    """Return the share of the free slots that one gateway may fill.
 
-    Failure: all gateways hear of the same free place at once, and each
-    gives it to a request of its own. Each therefore takes the part that
-    its requests are of all that wait.
+    Failure: all gateways learn of the same free slot at once, and each
+    fills it with a request of its own. Each therefore takes a share in
+    proportion to its part of all waiting requests.
+
+    Args:
+        free: Free slots of the replicas.
+        own: Requests that wait at this gateway.
+        others: Requests that wait at the other gateways.
+
+    Returns:
+        The share; infinity where there is a slot for each request.
     """
     total = own + others
-    if total <= places or not total:
+    if total <= free or not total:
         return math.inf
-    return places * own / total
+    return free * own / total
 
 
-def list_waiting(counts: abc.Mapping[Kind, int]) -> dict[str, int]:
-    """Return counts by the name under which gateways tell them."""
+def format_counts(counts: abc.Mapping[Kind, int]) -> dict[str, int]:
+    """Return counts of waiting requests, keyed as gateways report them."""
     return {name_count(kind): count for kind, count in counts.items()}
 
 
 def name_count(kind: Kind) -> str:
-    """Return the name under which a kind's waiting requests are told.
+    """Return the key under which a kind's waiting requests are reported.
 
-    It travels with the counts by upstream; no upstream's id has a slash.
+    They are sent in one mapping with the counts by upstream. The slash
+    keeps the keys apart: no upstream's id contains one.
     """
     return f"{kind.service}/{kind.model}"
--- a/currantwall/coordination/requests/balancing.py
+++ b/currantwall/coordination/requests/balancing.py
@@ -1,18 +1,19 @@
-"""Which upstream takes a request.
-
-The load it answers: many short requests from several nodes at once,
-over upstreams some of which are slow, fail, or have fallen silent
-without anybody having said so yet. A node knows its own requests in
-work exactly and those of the other nodes as of their last heartbeat.
-
-Were each node to take the least busy of all upstreams by what it knows,
-all would take the same ones until they hear of each other again. A node
-therefore draws two and takes the better one, weighted by how they behaved
-of late. In a large fleet counts come through relays, about as late as a
-request lasts: there the better of two is only the likelier one, or each
-replica would be overrun and passed over by turns. Upstreams with as many
-requests as they bear are left out; what then finds none waits in the
-backlog (`backlog`).
+"""Chooses the upstream for a request.
+
+The load pattern: many short requests from several nodes at once, sent to
+upstreams some of which are slow, fail, or have gone silent without being
+reported yet. A node knows the exact number of its own requests in flight,
+and those of the other nodes as of their last heartbeat.
+
+If each node took the least busy of all upstreams by its own counts, all
+nodes would take the same ones until the next heartbeats. A node therefore
+samples two upstreams and takes the better one ("power of two choices"),
+by their requests in flight and their recent failures. In a large fleet
+counts are passed on by relays and are about as old as a request lasts.
+There the better of two is only chosen with the higher probability;
+otherwise every replica would be overrun and avoided in turn. Upstreams
+that have reached their limit of requests in flight are left out; a
+request for which none remains waits in the backlog (`backlog`).
 """
 
 import collections
@@ -28,65 +29,69 @@
 
 __all__ = ["Balancer", "Unavailable"]
 
-# Seconds without a choice after a failure: doubled with each failure in
-# a row. The first is as long as a replica takes to be mended.
-_BASE_EJECTION = 0.7
-_MAX_EJECTION = 4.0
-# Seconds without a choice after an upstream refused a request: about the
-# time in which one of its own ends.
-_REFUSAL_EJECTION = 0.2
-# Seconds without a choice after a replica was found to have lost a member.
-# It does not come back under the same epoch; the list shows it gone by then.
-_LOSS_EJECTION = 4.0
-# The same after a replica was said to be slow; it is said again each second
-# until it no longer is.
-_SLOW_EJECTION = 2.0
-# Weight of the newest outcome in the share of failures.
+# Seconds for which an upstream is not chosen after a failure, doubled with
+# each consecutive failure. The first is as long as the repair of a replica
+# takes.
+_BASE_EJECTION_SECONDS = 0.7
+_MAX_EJECTION_SECONDS = 4.0
+# The same after an upstream refused a request: about the time in which one
+# of its own requests ends.
+_REFUSAL_EJECTION_SECONDS = 0.2
+# The same after a replica was found to have lost a member. It does not
+# recover under the same epoch; by then it has left the list of instances.
+_LOSS_EJECTION_SECONDS = 4.0
+# The same after a replica was reported slow; the report is repeated every
+# second for as long as it is slow.
+_SLOW_EJECTION_SECONDS = 2.0
+# Weight of the newest outcome in the moving average of failures.
 _FAILURE_WEIGHT = 0.2
-# How much more costly an upstream looks that fails every request.
+# Relative cost added to an upstream that fails every request.
 _FAILURE_COST = 20.0
-# Seconds for which other nodes are told of a lost answer, and how many.
-_LOST_AGE = 3.0
-_LOST_LIMIT = 8
-# How much more costly an upstream looks with each answer that it lost to
-# any node. One loss in a while is nothing; upstreams that drop many differ
+# Seconds for which a lost answer is reported to other nodes, and the most
+# that are reported for an upstream.
+_LOST_SECONDS = 3.0
+_MAX_LOST = 8
+# Relative cost added to an upstream for each answer that any node lost. A
+# single loss now and then means nothing; upstreams that drop many differ
 # by several.
 _LOST_COST = 0.5
-# Lost answers from which on an upstream is passed over for any other.
-_LOST_FEW = 2
-# Cost of leaving the data centre, in requests in work: 1.4 ms one way
-# and priced traffic against about 5 ms for each further request.
-_REMOTE_COST = 0.5
-# Seconds by which counts are late that come through relays.
-_RELAYED_AGE = 0.7
-# Part of the requests that a replica gets in that time by which two
-# replicas must differ for the choice to be clear.
-_DAMPING = 0.5
-_LEAST_UNSEEN = 0.1
-# Distance of two costs beyond which the choice is certain.
-_FAR = 30.0
-# Number of different hashes.
-_HASHES = 2.0**64
-# Weight of the newest pause in the mean of an upstream.
+# Lost answers from which on any other upstream is preferred.
+_LOST_THRESHOLD = 2
+# Cost of an upstream in another data centre, in requests in flight: 1.4 ms
+# one way and priced traffic, against about 5 ms for each further request.
+_OTHER_DATACENTRE_COST = 0.5
+# Seconds by which counts that come through relays are late.
+_RELAY_DELAY = 0.7
+# The difference of two costs at which the choice becomes clear, as a part
+# of the requests that a replica receives in `_RELAY_DELAY`, and its
+# minimum.
+_COST_SCALE_FACTOR = 0.5
+_MIN_COST_SCALE = 0.1
+# Limit of the exponent, in such differences; beyond it the choice is
+# practically certain.
+_MAX_EXPONENT = 30.0
+# Number of different hash values.
+_HASH_COUNT = 2.0**64
+# Weight of the newest pause in the moving average of an upstream's pauses.
 _PAUSE_WEIGHT = 0.1
-# Seconds after which the pauses of an upstream say nothing: it may have
-# recovered, which only new requests show.
-_PAUSE_AGE = 3.0
-# Seconds until a caller may try again when no replica serves: what it
-# takes to notice a loss, join anew and open.
-_RETRY_RECOVERING = 1.0
-# Seconds until a caller may try again when everything is full: about one
-# answer of a full replica.
-_RETRY_SATURATED = 0.5
+# Seconds after which an upstream's mean pause is no longer used: it may
+# have recovered, which only new requests can show.
+_PAUSE_TTL = 3.0
+# Seconds until a caller may try again when no replica serves: the time to
+# detect a loss and to form and open a replica again.
+_RECOVERY_RETRY_AFTER = 1.0
+# Seconds until a caller may try again when everything is full: the time in
+# which a full replica completes about one answer.
+_SATURATION_RETRY_AFTER = 0.5
 
 
 class Unavailable(msgspec.Struct, frozen=True):
     """No upstream can take the request now.
 
     Attributes:
-        reason: For the log and the caller.
-        retry_after: Seconds after which a try makes sense.
-        is_full: Whether there are upstreams, all with enough to do.
+        reason: Message for the log and the caller.
+        retry_after: Seconds after which the caller should try again.
+        is_full: Whether there are usable upstreams, all of them full.
     """
 
     reason: str
@@ -94,32 +99,34 @@
     is_full: bool = False
 
 
-# Returns the requests that an upstream may have in work at once.
-CountPlaces = abc.Callable[[upstreams.Upstream], int]
+# A function that returns how many requests an upstream may have in flight.
+LimitFunction = abc.Callable[[upstreams.Upstream], int]
 
 
 class _Health:
-    """How one upstream has behaved towards this node."""
+    """What this node has observed of one upstream."""
 
     def __init__(self) -> None:
-        self.in_work = 0
-        self.failures = 0
-        self.failure_share = 0.0
-        # When answers of it were lost.
-        self.lost: collections.deque[float] = collections.deque(
-            maxlen=_LOST_LIMIT
+        self.in_flight = 0
+        self.consecutive_failures = 0
+        # Moving average of failed requests, from 0 to 1.
+        self.failure_rate = 0.0
+        # Times at which its answers were lost.
+        self.lost_at: collections.deque[float] = collections.deque(
+            maxlen=_MAX_LOST
         )
         self.ejected_until = 0.0
-        # Mean seconds from one event of its streams to the next, and when
-        # the last one came.
-        self.pause = 0.0
-        self.paused_at = -math.inf
-        # Remembered so that the same replica, mended, starts afresh.
+        # Mean seconds from one event of its streams to the next, and the
+        # time of the last update.
+        self.mean_pause = 0.0
+        self.pause_updated_at = -math.inf
+        # Epoch of the ejection; it does not apply to the repaired replica,
+        # which has a newer epoch.
         self.epoch = 0
 
 
 class Balancer:
-    """Chooses upstreams; keeps what this node saw of each."""
+    """Chooses upstreams by what this node has observed of each."""
 
     def __init__(
         self, fleet: upstreams.Fleet, datacentre: ids.DatacentreName
@@ -128,9 +135,9 @@
         self._datacentre = datacentre
         self._health: dict[ids.InstanceId, _Health] = {}
         self._remote = loads_module.RemoteLoads()
-        # Requests that wait at this node, by the name they are told under.
+        # Requests that wait at this node, by the key they are reported as.
         self.waiting: abc.Mapping[str, int] = {}
-        # Whether the counts of other nodes come through relays.
+        # Whether the counts of other nodes are passed on by relays.
         self.are_counts_relayed = False
         # Whether any node has sent a request to an upstream yet.
         self.has_seen_traffic = False
@@ -144,246 +151,313 @@
         excluded: abc.Container[str],
         salt: str,
         now: float,
-        count_places: CountPlaces | None = None,
-        turnover: float = 0.0,
+        get_limit: LimitFunction | None = None,
+        service_time: float = 0.0,
     ) -> upstreams.Upstream | Unavailable:
         """Return the upstream for a request.
 
         Args:
-            service: Where the route leads.
+            service: Service of the route.
             model: Model of the replica; None for plain services.
             excluded: Upstreams that this request has tried, by
-                `Upstream.life`: a mended replica may be tried again.
-            salt: Breaks ties, so that nodes do not all choose alike.
+                `Upstream.life`: a repaired replica may be tried again.
+            salt: Text that is hashed to sample upstreams and to break ties,
+                so that nodes choose differently.
             now: Monotonic time.
-            count_places: What an upstream may have in work; None for any
-                number.
-            turnover: Seconds that an upstream works on a request; 0 where
-                it isn't known.
+            get_limit: Returns the requests that an upstream may have in
+                flight; None for no limit.
+            service_time: Seconds that an upstream works on a request; 0
+                where it isn't known.
         """
         candidates = self._list_candidates(service, model)
         if not candidates:
-            return Unavailable("no upstream serves", _RETRY_RECOVERING)
-        fresh = [one for one in candidates if one.life not in excluded]
-        usable = [one for one in fresh if not self._is_ejected(one, now)]
+            return Unavailable("no upstream serves", _RECOVERY_RETRY_AFTER)
+        untried = [
+            upstream
+            for upstream in candidates
+            if upstream.life not in excluded
+        ]
+        usable = [
+            upstream
+            for upstream in untried
+            if not self._is_ejected(upstream, now)
+        ]
         if not usable:
-            if model is not None and not fresh:
-                return Unavailable("all were tried", _RETRY_RECOVERING)
+            if model is not None and not untried:
+                return Unavailable("all were tried", _RECOVERY_RETRY_AFTER)
             if model is not None:
-                return Unavailable("all stall or fail", _RETRY_RECOVERING)
-            # Plain services: a doubtful one is better than none.
-            usable = fresh
+                return Unavailable("all stall or fail", _RECOVERY_RETRY_AFTER)
+            # A plain service: an ejected upstream is better than none.
+            usable = untried
             if not usable:
-                return Unavailable("all were tried", _RETRY_SATURATED)
-        if count_places is not None:
+                return Unavailable("all were tried", _SATURATION_RETRY_AFTER)
+        if get_limit is not None:
             usable = [
-                one
-                for one in usable
-                if self.count_load(one.id) < count_places(one)
+                upstream
+                for upstream in usable
+                if self.count_load(upstream.id) < get_limit(upstream)
             ]
             if not usable:
                 return Unavailable(
-                    "all are full", _RETRY_SATURATED, is_full=True
+                    "all are full",
+                    _SATURATION_RETRY_AFTER,
+                    is_full=True,
                 )
-        return self._choose_drawn(usable, salt, turnover)
+        return self._choose_usable(usable, salt, service_time)
 
-    def count_free(
+    def count_free_slots(
         self,
         service: ids.ServiceName,
         model: str,
-        count_places: CountPlaces,
+        get_limit: LimitFunction,
         now: float,
     ) -> int:
-        """Return the places of a model's replicas that are free."""
+        """Return how many more requests a model's replicas can take."""
         return sum(
-            max(0, count_places(one) - self.count_load(one.id))
-            for one in self._list_candidates(service, model)
-            if not self._is_ejected(one, now)
+            max(0, get_limit(upstream) - self.count_load(upstream.id))
+            for upstream in self._list_candidates(service, model)
+            if not self._is_ejected(upstream, now)
         )
 
-    def _choose_drawn(
-        self, usable: list[upstreams.Upstream], salt: str, turnover: float
+    def _choose_usable(
+        self, usable: list[upstreams.Upstream], salt: str, service_time: float
     ) -> upstreams.Upstream:
-        """Return one of two upstreams that a request's id draws."""
-        drawn = _draw_two(usable, salt)
-        if len(drawn) == 2 and self.are_counts_relayed and turnover > 0:
-            return self._choose_likelier(drawn, usable, salt, turnover)
-        best = min(drawn, key=lambda one: self._cost(one, salt))
+        """Return the better of two upstreams that are sampled by the salt."""
+        sampled = _sample_two(usable, salt)
+        if len(sampled) == 2 and self.are_counts_relayed and service_time > 0:
+            return self._choose_randomly(sampled, usable, salt, service_time)
+        best = min(
+            sampled, key=lambda upstream: self._compute_cost(upstream, salt)
+        )
         is_full = self.count_load(best.id) >= best.slots
         if not is_full and not self._loses_answers(best):
             return best
-        # All that were drawn are full or lose answers: few others don't.
-        return min(usable, key=lambda one: self._cost(one, salt))
+        # The sampled ones are full or lose answers, and so do most others:
+        # search all for one that does not.
+        return min(
+            usable, key=lambda upstream: self._compute_cost(upstream, salt)
+        )
 
-    def _choose_likelier(
+    def _choose_randomly(
         self,
-        drawn: list[upstreams.Upstream],
+        sampled: list[upstreams.Upstream],
         usable: list[upstreams.Upstream],
         salt: str,
-        turnover: float,
+        service_time: float,
     ) -> upstreams.Upstream:
         """Return one of two, the better one with the higher probability.
 
+        The probability is a logistic function of the difference of their
+        costs.
+
         The load pattern: over a hundred nodes, each with a few requests a
-        second, before replicas that are two thirds full or more. What a
-        node knows of them is as old as their requests.
+        second, in front of replicas that are two thirds full or more. The
+        counts of a node are as old as a request lasts.
         """
-        mean = sum(self.count_load(one.id) for one in usable) / len(usable)
-        unseen = mean * min(_RELAYED_AGE / turnover, 1.0)
-        first, second = (self._cost(one, salt)[0] for one in drawn)
-        distance = (first - second) / max(_DAMPING * unseen, _LEAST_UNSEEN)
-        point = hashing.hash_text(f"{salt}/likelier") / _HASHES
-        return drawn[point >= 1 / (1 + math.exp(min(distance, _FAR)))]
-
-    def _loses_answers(self, one: upstreams.Upstream) -> bool:
+        mean = sum(self.count_load(upstream.id) for upstream in usable) / len(
+            usable
+        )
+        unseen = mean * min(_RELAY_DELAY / service_time, 1.0)
+        first, second = (
+            self._compute_cost(upstream, salt)[0] for upstream in sampled
+        )
+        exponent = (first - second) / max(
+            _COST_SCALE_FACTOR * unseen, _MIN_COST_SCALE
+        )
+        point = hashing.hash_text(f"{salt}/likelier") / _HASH_COUNT
+        return sampled[
+            point >= 1 / (1 + math.exp(min(exponent, _MAX_EXPONENT)))
+        ]
+
+    def _loses_answers(self, upstream: upstreams.Upstream) -> bool:
         """Return whether a plain service's upstream drops some answers."""
         return (
-            one.seat is None
-            and self._remote.get(_name_lost(one.id)) >= _LOST_FEW
+            upstream.seat is None
+            and self._remote.get(_format_lost_key(upstream.id))
+            >= _LOST_THRESHOLD
         )
 
     def _list_candidates(
         self, service: ids.ServiceName, model: str | None
     ) -> list[upstreams.Upstream]:
+        """Return a plain service's upstreams or a model's leaders."""
         if model is None:
             return [
-                one
-                for one in self._fleet.list_service(service)
-                if not one.leaving
+                upstream
+                for upstream in self._fleet.list_service(service)
+                if not upstream.leaving
             ]
         replicas = self._fleet.list_serving(service, model)
-        return [one.members[0] for one in replicas]
+        return [replica.members[0] for replica in replicas]
+
+    def _compute_cost(
+        self, upstream: upstreams.Upstream, salt: str
+    ) -> tuple[float, int]:
+        """Return the cost of choosing an upstream, and a tie-breaker.
 
-    def _cost(self, one: upstreams.Upstream, salt: str) -> tuple[float, int]:
-        health = self._health.get(one.id)
-        share = health.failure_share if health else 0.0
-        lost = self._remote.get(_name_lost(one.id))
-        cost = (1 + self.count_load(one.id)) * (1 + _FAILURE_COST * share)
+        The cost is in requests in flight, weighted by failures and losses.
+        """
+        health = self._health.get(upstream.id)
+        failure_rate = health.failure_rate if health else 0.0
+        lost = self._remote.get(_format_lost_key(upstream.id))
+        cost = (1 + self.count_load(upstream.id)) * (
+            1 + _FAILURE_COST * failure_rate
+        )
         cost *= 1 + _LOST_COST * lost
-        if one.datacentre != self._datacentre:
-            cost += _REMOTE_COST
-        return cost, _draw(one, salt)
+        if upstream.datacentre != self._datacentre:
+            cost += _OTHER_DATACENTRE_COST
+        return cost, _compute_tie_breaker(upstream, salt)
 
-    def _is_ejected(self, one: upstreams.Upstream, now: float) -> bool:
-        health = self._health.get(one.id)
+    def _is_ejected(self, upstream: upstreams.Upstream, now: float) -> bool:
+        """Return whether an upstream may not be chosen at present."""
+        health = self._health.get(upstream.id)
         if health is None or now >= health.ejected_until:
             return False
-        return one.seat is None or health.epoch >= one.seat.epoch
+        return upstream.seat is None or health.epoch >= upstream.seat.epoch
 
     def count_load(self, instance: ids.InstanceId) -> int:
-        """Return the known requests in work at an upstream."""
+        """Return the known requests in flight at an upstream."""
         health = self._health.get(instance)
-        own = health.in_work if health else 0
+        own = health.in_flight if health else 0
         return own + self._remote.get(instance)
 
-    # -- What was seen
+    # -- Observations
 
-    def _get(self, instance: ids.InstanceId) -> _Health:
+    def _get_health(self, instance: ids.InstanceId) -> _Health:
+        """Return the observations of an upstream, empty ones if new."""
         health = self._health.get(instance)
         if health is None:
             health = self._health[instance] = _Health()
         return health
 
     def begin(self, instance: ids.InstanceId) -> None:
-        """Note a request that is on its way to an upstream."""
-        self._get(instance).in_work += 1
+        """Note that a request is being sent to an upstream."""
+        self._get_health(instance).in_flight += 1
         self.has_seen_traffic = True
 
     def end(self, instance: ids.InstanceId) -> None:
-        """Note that a request has ended there."""
-        self._get(instance).in_work -= 1
+        """Note that a request to an upstream has ended."""
+        self._get_health(instance).in_flight -= 1
 
     def note_pause(
         self, instance: ids.InstanceId, seconds: float, now: float
     ) -> None:
         """Note the time between two events of an upstream's stream."""
-        health = self._get(instance)
-        if now - health.paused_at > _PAUSE_AGE:
-            health.pause = seconds
-        health.pause += _PAUSE_WEIGHT * (seconds - health.pause)
-        health.paused_at = now
-
-    def get_pause(self, instance: ids.InstanceId, now: float) -> float | None:
-        """Return the mean pause of an upstream's streams, if any is seen."""
+        health = self._get_health(instance)
+        if now - health.pause_updated_at > _PAUSE_TTL:
+            health.mean_pause = seconds
+        health.mean_pause += _PAUSE_WEIGHT * (seconds - health.mean_pause)
+        health.pause_updated_at = now
+
+    def get_mean_pause(
+        self, instance: ids.InstanceId, now: float
+    ) -> float | None:
+        """Return the mean pause of an upstream's streams, in seconds.
+
+        None if none was observed in the last `_PAUSE_TTL` seconds.
+        """
         health = self._health.get(instance)
-        if health is None or now - health.paused_at > _PAUSE_AGE:
+        if health is None or now - health.pause_updated_at > _PAUSE_TTL:
             return None
-        return health.pause
+        return health.mean_pause
 
-    def find_least_pause(
+    def find_shortest_pause(
         self, service: ids.ServiceName, model: str, now: float
     ) -> float:
-        """Return the least mean pause among a model's replicas, or 0."""
+        """Return the shortest mean pause of a model's replicas, or 0."""
         pauses = [
-            self.get_pause(one.id, now)
-            for one in self._list_candidates(service, model)
+            self.get_mean_pause(upstream.id, now)
+            for upstream in self._list_candidates(service, model)
         ]
-        return min((one for one in pauses if one is not None), default=0.0)
+        return min(
+            (pause for pause in pauses if pause is not None), default=0.0
+        )
 
     def note_success(self, instance: ids.InstanceId) -> None:
-        """Note an answer in order."""
-        health = self._get(instance)
-        health.failures = 0
-        health.failure_share *= 1 - _FAILURE_WEIGHT
+        """Note a successful answer."""
+        health = self._get_health(instance)
+        health.consecutive_failures = 0
+        health.failure_rate *= 1 - _FAILURE_WEIGHT
 
     def note_refusal(self, upstream: upstreams.Upstream, now: float) -> None:
-        """Note that an upstream would not take a request just now."""
-        self._eject(upstream, now + _REFUSAL_EJECTION)
+        """Note that an upstream refused a request for the moment."""
+        self._eject(upstream, now + _REFUSAL_EJECTION_SECONDS)
 
     def note_misdirected(
         self, upstream: upstreams.Upstream, now: float
     ) -> None:
-        """Note that another server answers where an upstream was listed.
+        """Note that another server answers at an upstream's address.
 
         Failure: the entry of a server that has gone looks idle, so each
-        request goes there first and is refused. It stays in the list
-        while the store is away; a new replica has a newer epoch and is
-        not avoided.
+        request is sent there first and is refused. The entry stays in the
+        list for as long as the store is unavailable. The ejection does not
+        apply to a new replica, which has a newer epoch.
         """
-        self._eject(upstream, now + _LOSS_EJECTION)
+        self._eject(upstream, now + _LOSS_EJECTION_SECONDS)
 
     def note_failure(
         self, upstream: upstreams.Upstream, now: float, avoid: bool
     ) -> None:
-        """Note a failure; `avoid` where the next request would fail too."""
-        health = self._get(upstream.id)
-        health.failure_share += _FAILURE_WEIGHT * (1 - health.failure_share)
+        """Note a failed request.
+
+        Args:
+            upstream: The upstream that failed it.
+            now: Monotonic time.
+            avoid: Whether to eject the upstream, because the next request
+                would probably fail too.
+        """
+        health = self._get_health(upstream.id)
+        health.failure_rate += _FAILURE_WEIGHT * (1 - health.failure_rate)
         if not avoid:
             return
-        health.failures += 1
-        wait = _BASE_EJECTION * 2 ** (health.failures - 1)
-        self._eject(upstream, now + min(wait, _MAX_EJECTION))
+        health.consecutive_failures += 1
+        seconds = _BASE_EJECTION_SECONDS * 2 ** (
+            health.consecutive_failures - 1
+        )
+        self._eject(upstream, now + min(seconds, _MAX_EJECTION_SECONDS))
 
     def note_lost_answer(self, instance: ids.InstanceId, now: float) -> None:
-        """Note an answer of a plain service that did not come, or not whole.
+        """Note a plain service's answer that was missing or incomplete.
 
         The load pattern: an upstream drops a part of its answers for some
         seconds, and each of a hundred nodes sends it a request now and
-        then. What one of them sees says little; the others are told.
+        then. The observations of a single node say little, so they are
+        reported to the others.
         """
-        self._get(instance).lost.append(now)
+        self._get_health(instance).lost_at.append(now)
 
     def note_loss(
         self, instance: ids.InstanceId, epoch: int, now: float
     ) -> None:
-        """Note the verdict that a leader's replica is not whole.
+        """Note the report that a leader's replica has lost a member.
+
+        Failure: relays repeat a report for a second or more. By then the
+        instance may lead the repaired replica, which must not be ejected.
 
-        Failure: relays repeat a verdict for a second and more, in which
-        the leader may have come to lead the mended replica.
+        Args:
+            instance: The leader.
+            epoch: Epoch of the replica that the report is about.
+            now: Monotonic time.
         """
         upstream = self._fleet.get(instance)
         if upstream is None:
             return
         if upstream.seat is None or upstream.seat.epoch <= epoch:
-            self._eject_life(instance, epoch, now + _LOSS_EJECTION)
+            self._eject_epoch(instance, epoch, now + _LOSS_EJECTION_SECONDS)
 
     def note_slow(
         self, instance: ids.InstanceId, epoch: int, now: float
     ) -> None:
-        """Note that a member slows down a leader's replica.
+        """Note the report that a member slows down a leader's replica.
 
-        It is passed over while half of the model's replicas are sound:
-        where most are slow, a slow answer is better than none.
+        The replica is ejected only if at least half of the model's
+        replicas remain: where most are slow, a slow answer is better than
+        none.
+
+        Args:
+            instance: The leader.
+            epoch: Epoch of the replica that the report is about.
+            now: Monotonic time.
         """
         upstream = self._fleet.get(instance)
         if upstream is None or upstream.seat is None:
@@ -391,67 +465,70 @@
         parsed = upstreams.parse_name(upstream.seat.replica)
         if parsed is None or upstream.seat.epoch > epoch:
             return
-        all_ = self._list_candidates(upstream.service, parsed[0])
-        sound = [
-            one
-            for one in all_
-            if one.id != instance and not self._is_ejected(one, now)
+        candidates = self._list_candidates(upstream.service, parsed[0])
+        remaining = [
+            other
+            for other in candidates
+            if other.id != instance and not self._is_ejected(other, now)
         ]
-        if 2 * len(sound) >= len(all_):
-            self._eject_life(instance, epoch, now + _SLOW_EJECTION)
+        if 2 * len(remaining) >= len(candidates):
+            self._eject_epoch(instance, epoch, now + _SLOW_EJECTION_SECONDS)
 
     def _eject(self, upstream: upstreams.Upstream, until: float) -> None:
+        """Stop choosing an upstream under its present epoch, until a time."""
         epoch = upstream.seat.epoch if upstream.seat else 0
-        self._eject_life(upstream.id, epoch, until)
+        self._eject_epoch(upstream.id, epoch, until)
 
-    def _eject_life(
+    def _eject_epoch(
         self, instance: ids.InstanceId, epoch: int, until: float
     ) -> None:
-        health = self._get(instance)
+        """Stop choosing an upstream under an epoch, until a time."""
+        health = self._get_health(instance)
         health.ejected_until = max(health.ejected_until, until)
         health.epoch = epoch
 
-    # -- What nodes tell each other
+    # -- Counts exchanged between nodes
 
     def list_loads(self, now: float) -> dict[str, int]:
-        """Return this node's requests in work by upstream.
+        """Return the counts of this node to report to the others.
 
-        With those that wait here and the answers lost of late, which the
-        sums of relays then hold too.
+        These are its requests in flight by upstream, and under keys of
+        their own its waiting requests and recently lost answers. All of
+        them are thus added up by relays in the same way.
         """
-        found: dict[str, int] = {}
+        counts: dict[str, int] = {}
         for name, health in self._health.items():
-            if health.in_work > 0:
-                found[name] = health.in_work
-            lost = sum(now - at <= _LOST_AGE for at in health.lost)
+            if health.in_flight > 0:
+                counts[name] = health.in_flight
+            lost = sum(now - at <= _LOST_SECONDS for at in health.lost_at)
             if lost:
-                found[_name_lost(name)] = lost
-        return found | dict(self.waiting)
+                counts[_format_lost_key(name)] = lost
+        return counts | dict(self.waiting)
 
-    def count_waiting(self, name: str) -> int:
-        """Return the requests that wait at other nodes, by their name."""
-        return self._remote.get(name)
+    def count_remote_waiting(self, key: str) -> int:
+        """Return the requests that wait at other nodes under a key."""
+        return self._remote.get(key)
 
-    def count_all_waiting(self, name: str) -> int:
-        """Return the requests that wait at all nodes, by their name."""
-        return self.waiting.get(name, 0) + self.count_waiting(name)
+    def count_all_waiting(self, key: str) -> int:
+        """Return the requests that wait at all nodes under a key."""
+        return self.waiting.get(key, 0) + self.count_remote_waiting(key)
 
     def note_loads(
         self, node: ids.NodeId, loads: abc.Mapping[str, int], now: float
     ) -> None:
-        """Take note of another node's requests in work."""
+        """Replace another node's counts by those that it reports."""
         self._remote.note(node, loads, now)
         self.has_seen_traffic = self.has_seen_traffic or bool(loads)
 
     def expire(self, now: float) -> None:
-        """Forget old counts and upstreams that are no longer listed."""
+        """Drop outdated counts, and upstreams that are no longer listed."""
         self._remote.expire(now)
         for name, health in list(self._health.items()):
-            if health.in_work <= 0 and self._fleet.get(name) is None:
+            if health.in_flight <= 0 and self._fleet.get(name) is None:
                 del self._health[name]
 
     def count_busy(self, service: ids.ServiceName) -> dict[str, int]:
-        """Return the known requests in work of each model."""
+        """Return the known requests in flight for each model."""
         busy: dict[str, int] = {}
         for replica in self._fleet.list_replicas(service):
             leader = replica.leader
@@ -461,26 +538,30 @@
         return busy
 
 
-def _name_lost(instance: ids.InstanceId) -> str:
-    """Return the name under which an upstream's lost answers are told.
+def _format_lost_key(instance: ids.InstanceId) -> str:
+    """Return the key under which an upstream's lost answers are reported.
 
-    It travels with the counts by upstream; no upstream's id has a slash.
+    They are sent in one mapping with the counts by upstream. The slash
+    keeps the keys apart: no upstream's id contains one.
     """
     return f"{instance}/lost"
 
 
-def _draw_two(
+def _sample_two(
     usable: list[upstreams.Upstream], salt: str
 ) -> list[upstreams.Upstream]:
-    """Return two different upstreams by chance, or the only one."""
+    """Return two different upstreams at random, or all if there are fewer.
+
+    The salt is the only source of randomness.
+    """
     count = len(usable)
     if count <= 2:
         return usable
-    turns, first = divmod(hashing.hash_text(salt), count)
-    second = (first + 1 + turns % (count - 1)) % count
+    quotient, first = divmod(hashing.hash_text(salt), count)
+    second = (first + 1 + quotient % (count - 1)) % count
     return [usable[first], usable[second]]
 
 
-def _draw(one: upstreams.Upstream, salt: str) -> int:
-    """Return a number that puts upstreams into an order by chance."""
-    return hashing.hash_text(f"{salt}{one.id}")
+def _compute_tie_breaker(upstream: upstreams.Upstream, salt: str) -> int:
+    """Return a number that orders upstreams at random, by the salt."""
+    return hashing.hash_text(f"{salt}{upstream.id}")
--- a/currantwall/coordination/requests/placing.py
+++ b/currantwall/coordination/requests/placing.py
@@ -1,10 +1,13 @@
-"""Who gets the free places of replicas, and who is turned away.
+"""Assigns the free slots of replicas to requests, and rejects requests.
 
-The load it answers: several gateways send requests to the same replicas,
-more than these can serve in time, and each gateway hears of the others'
-requests a moment late. A place that a gateway's own request has left is
-given on at once, for this gateway alone knows of it; of places that the
-others leave it takes its part (`backlog.divide_places`).
+A slot is room for one more request under a replica's limit (`capacity`).
+
+The load pattern: several gateways send requests to the same replicas,
+more than these can serve in time, and each gateway learns of the others'
+requests a moment late. A slot that a gateway's own request has left is
+filled at once, because no other gateway knows of it yet. Of the slots
+that the others' requests leave, the gateway takes its share
+(`backlog.divide_slots`).
 """
 
 import math
@@ -21,45 +24,49 @@
 Kind = backlog_module.Kind
 Ticket = backlog_module.Ticket
 
-# Seconds between two looks at free places that other gateways tell of.
+# Seconds between two checks for slots that other gateways' requests left.
 TICK = 0.05
-# Seconds in which a gateway takes its part of the places that it hears
-# to be free; about as old as that news is.
-_NEWS_AGE = 0.2
-# Seconds in which a replica's places come free once, where the operator
-# tells no timing.
-_TURNOVER = 1.0
+# Seconds over which a gateway fills its share of the slots that are
+# reported free: about the age of the other gateways' counts.
+_COUNT_AGE = 0.2
+# Seconds in which each slot of a replica becomes free once, where the
+# operator configures no timing.
+_DEFAULT_SERVICE_TIME = 1.0
 # Part of its slots above which a replica counts as nearly full.
-_PRESSED = 0.75
-# Factor between the pauses at an engine's own pace and those that are
-# usual with prompts read in between.
-_USUAL_SLOWNESS = 1.5
+_NEARLY_FULL_SHARE = 0.75
+# Ratio of the usual pauses, which include the reading of prompts, to the
+# pauses of an engine that only writes.
+_USUAL_PAUSE_FACTOR = 1.5
 
 
-def _measure_usual_pause(ticket: Ticket) -> float:
-    """Return the seconds above which a replica's pauses show it slow."""
+def _estimate_usual_pause(ticket: Ticket) -> float:
+    """Return the mean pause above which a replica is slow, in seconds."""
     timing = ticket.engine.timing
     model = ticket.engine.find(ticket.kind.model)
     if timing is None or model is None:
         return math.inf
-    one_pass = capacity.expect_pass(timing, model.pace, ticket.engine.slots)
-    return _USUAL_SLOWNESS * one_pass
+    one_pass = capacity.estimate_pass_time(
+        timing, model.pace, ticket.engine.slots
+    )
+    return _USUAL_PAUSE_FACTOR * one_pass
 
 
-def _measure_turnover(ticket: Ticket) -> float:
-    """Return the seconds in which a replica's places come free once."""
+def _estimate_service_time(ticket: Ticket) -> float:
+    """Return the seconds in which each slot becomes free once."""
     timing = ticket.engine.timing
     model = ticket.engine.find(ticket.kind.model)
     if timing is None or model is None:
-        return _TURNOVER
-    return capacity.expect_answer(timing, model.pace, ticket.engine.slots)
+        return _DEFAULT_SERVICE_TIME
+    return capacity.estimate_answer_time(
+        timing, model.pace, ticket.engine.slots
+    )
 
 
 class Placement(msgspec.Struct, frozen=True):
-    """A place for a request; it is counted as taken.
+    """A slot assigned to a request; the balancer counts it as taken.
 
     Attributes:
-        in_time: Whether its first event is expected to be on time.
+        in_time: Whether the first event is expected to be in time.
     """
 
     ticket: Ticket
@@ -68,10 +75,10 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """A request that will get no place before its caller gives up.
+    """A request that will get no slot before its caller gives up.
 
     Attributes:
-        retry_after: Seconds after which it finds room again.
+        retry_after: Seconds after which it will find a free slot.
     """
 
     ticket: Ticket
@@ -79,12 +86,12 @@
 
 
 class Placer:
-    """Gives the places of one gateway's requests."""
+    """Assigns slots to the requests of one gateway."""
 
     def __init__(self, balancer: balancing.Balancer) -> None:
         self._balancer = balancer
         self.backlog = backlog_module.Backlog()
-        # Parts of free places that this gateway may still take, by kind.
+        # Slots, in fractions, that this gateway may still fill, by kind.
         self._credit: dict[Kind, float] = {}
 
     # -- One request
@@ -92,119 +99,129 @@
     def ask(
         self, ticket: Ticket, now: float
     ) -> Placement | balancing.Unavailable:
-        """Return a place for a request that has just come, if there is one.
+        """Assign a slot to a request that has just arrived, if one is free.
 
-        It need not look at those that wait: they are late, or were
-        refused a place a moment ago.
+        Waiting requests need not be considered first: they are late, or
+        found no free slot a moment ago.
         """
-        self._assume_first(ticket)
+        self._set_initial_estimate(ticket)
         found = self._choose(ticket, now)
         if isinstance(found, balancing.Unavailable):
             return found
-        return self._take(ticket, found, now)
+        return self._assign(ticket, found, now)
 
     def add(self, ticket: Ticket) -> None:
-        """Let a request wait."""
+        """Add a request to the backlog."""
         self.backlog.add(ticket)
-        self._tell()
+        self._publish_counts()
 
     def remove(self, ticket: Ticket) -> None:
-        """Let a request wait no longer."""
+        """Remove a request from the backlog."""
         self.backlog.remove(ticket)
-        self._tell()
+        self._publish_counts()
 
     def is_late(self, ticket: Ticket, now: float) -> bool:
-        """Return whether a request that starts now will not be in time."""
+        """Return whether a request that starts now would be late."""
         return self.backlog.is_late(ticket, now)
 
     def is_pressed(self, upstream: upstreams.Upstream) -> bool:
         """Return whether a replica is nearly full."""
         load = self._balancer.count_load(upstream.id)
-        return load > _PRESSED * upstream.slots
+        return load > _NEARLY_FULL_SHARE * upstream.slots
 
     def estimate_retry_after(self, ticket: Ticket, now: float) -> float:
-        """Return the seconds after which a request finds room again."""
-        least = _measure_turnover(ticket)
-        return self.backlog.estimate_retry_after(ticket.kind, least, now)
+        """Return the seconds after which a request will find a free slot."""
+        minimum = _estimate_service_time(ticket)
+        return self.backlog.estimate_retry_after(ticket.kind, minimum, now)
 
-    # -- Those that wait
+    # -- Waiting requests
 
     def replace_ended(self, now: float) -> list[Placement]:
-        """Return who gets the place of a request that has just ended."""
+        """Assign the slot of an ended request to a waiting one, if any."""
         for kind in self.backlog.list_kinds():
             for ticket in self.backlog.list_tickets(kind, now):
                 found = self._choose(ticket, now)
                 if isinstance(found, upstreams.Upstream):
-                    return [self._give(ticket, found, now)]
+                    return [self._assign_waiting(ticket, found, now)]
                 if found.is_full:
                     break
         return []
 
     def fill(self, kind: Kind, now: float) -> list[Placement]:
-        """Return who gets this gateway's part of the free places.
+        """Assign this gateway's share of the free slots to waiting requests.
 
-        Called each `TICK`.
+        To be called every `TICK` seconds.
         """
         tickets = self.backlog.list_tickets(kind, now)
-        credit = self._count_credit(kind, tickets, now)
-        found = []
+        credit = self._compute_credit(kind, tickets, now)
+        placements = []
         for ticket in tickets:
             if credit < 1.0:
                 break
             chosen = self._choose(ticket, now)
             if isinstance(chosen, upstreams.Upstream):
-                found.append(self._give(ticket, chosen, now))
+                placements.append(self._assign_waiting(ticket, chosen, now))
                 credit -= 1.0
             elif chosen.is_full:
                 break
         self._credit[kind] = min(credit, 1.0)
-        return found
+        return placements
 
-    def _count_credit(
+    def _compute_credit(
         self, kind: Kind, tickets: list[Ticket], now: float
     ) -> float:
-        """Return the free places that this gateway may take now."""
+        """Return the slots that this gateway may fill now, in fractions."""
         if not tickets:
             return 0.0
-        free = self._balancer.count_free(
-            kind.service, kind.model, self._make_count(tickets[0], now), now
+        free = self._balancer.count_free_slots(
+            kind.service,
+            kind.model,
+            self._make_limit_function(tickets[0], now),
+            now,
+        )
+        others = self._balancer.count_remote_waiting(
+            backlog_module.name_count(kind)
         )
-        others = self._balancer.count_waiting(backlog_module.name_count(kind))
-        part = backlog_module.divide_places(free, len(tickets), others)
-        credit = self._credit.get(kind, 0.0) + part * TICK / _NEWS_AGE
+        share = backlog_module.divide_slots(free, len(tickets), others)
+        credit = self._credit.get(kind, 0.0) + share * TICK / _COUNT_AGE
         return min(credit, float(len(tickets)))
 
     def turn_away(self, kind: Kind, now: float) -> list[Refusal]:
-        """Return those that cannot begin before their caller gives up."""
-        hopeless = self.backlog.list_hopeless(kind, now)
-        found = [
+        """Remove and return the requests that cannot start soon enough.
+
+        These are the ones whose callers give up before a slot is free.
+        """
+        unservable = self.backlog.list_unservable(kind, now)
+        refusals = [
             Refusal(ticket, self.estimate_retry_after(ticket, now))
-            for ticket in hopeless
+            for ticket in unservable
         ]
-        for ticket in hopeless:
+        for ticket in unservable:
             self.remove(ticket)
-        return found
+        return refusals
 
-    def _give(
+    def _assign_waiting(
         self, ticket: Ticket, upstream: upstreams.Upstream, now: float
     ) -> Placement:
+        """Assign a slot to a request of the backlog."""
         self.remove(ticket)
-        return self._take(ticket, upstream, now)
+        return self._assign(ticket, upstream, now)
 
-    def _take(
+    def _assign(
         self, ticket: Ticket, upstream: upstreams.Upstream, now: float
     ) -> Placement:
+        """Assign a slot and count it as taken."""
         late = self.backlog.is_late(ticket, now)
         self._balancer.begin(upstream.id)
         self.backlog.note_start(ticket.kind, late, now)
         return Placement(ticket, upstream, not late)
 
-    def _tell(self) -> None:
-        """Have the other gateways know how many requests wait here."""
+    def _publish_counts(self) -> None:
+        """Update the counts of waiting requests that the balancer reports."""
         counts = self.backlog.list_counts()
-        self._balancer.waiting = backlog_module.list_waiting(counts)
+        self._balancer.waiting = backlog_module.format_counts(counts)
 
-    # -- Places of a replica
+    # -- Slots of a replica
 
     def _choose(
         self, ticket: Ticket, now: float
@@ -215,51 +232,66 @@
             ticket.excluded,
             ticket.request,
             now,
-            self._make_count(ticket, now),
-            _measure_turnover(ticket),
+            self._make_limit_function(ticket, now),
+            _estimate_service_time(ticket),
         )
 
-    def _make_count(self, ticket: Ticket, now: float) -> balancing.CountPlaces:
-        """Return what tells how full a replica may be for a request."""
+    def _make_limit_function(
+        self, ticket: Ticket, now: float
+    ) -> balancing.LimitFunction:
+        """Return a function that gives each replica's limit for a request."""
         late = self.backlog.is_late(ticket, now)
-        usual = _measure_usual_pause(ticket)
+        usual = _estimate_usual_pause(ticket)
 
-        def count(slowness: float) -> int:
-            places = capacity.count_places(
+        def compute_limit(slowness: float) -> int:
+            limit = capacity.compute_limit(
                 ticket.engine, ticket.kind.model, ticket.gap, slowness
             )
-            return capacity.share_places(places, late)
+            return capacity.adjust_limit(limit, late)
 
-        # The same for all replicas that are not slow.
-        sound = count(1.0)
+        # Computed once for all replicas that are not slow.
+        usual_limit = compute_limit(1.0)
 
-        def count_places(one: upstreams.Upstream) -> int:
-            pause = self._balancer.get_pause(one.id, now)
+        def get_limit(upstream: upstreams.Upstream) -> int:
+            pause = self._balancer.get_mean_pause(upstream.id, now)
             if pause is None or pause <= usual:
-                return sound
-            return count(max(1.0, pause / self._relate(usual, ticket, now)))
+                return usual_limit
+            return compute_limit(
+                max(1.0, pause / self._find_reference(usual, ticket, now))
+            )
 
-        return count_places
+        return get_limit
 
-    def _relate(self, usual: float, ticket: Ticket, now: float) -> float:
-        """Return the usual pause, or what the fastest replica shows.
+    def _find_reference(
+        self, usual: float, ticket: Ticket, now: float
+    ) -> float:
+        """Return the pause with which a slow replica's pauses are compared.
 
         Failure: a gateway that is short of processor time, or whose links
-        lose packets, sees every replica pause; it would take all of them
-        for slow and hold its requests back.
+        lose packets, observes long pauses at every replica. It would take
+        all of them for slow and hold its requests back. The pauses of the
+        fastest replica therefore raise the reference.
+
+        Args:
+            usual: Usual pause by the engine's timing, in seconds.
+            ticket: A request for the replicas.
+            now: Monotonic time.
         """
-        least = self._balancer.find_least_pause(
+        shortest = self._balancer.find_shortest_pause(
             ticket.kind.service, ticket.kind.model, now
         )
-        return max(usual, _USUAL_SLOWNESS * least)
+        return max(usual, _USUAL_PAUSE_FACTOR * shortest)
 
-    def _assume_first(self, ticket: Ticket) -> None:
-        """Expect what the timing says before a first event was seen."""
+    def _set_initial_estimate(self, ticket: Ticket) -> None:
+        """Estimate the time to the first event from the engine's timing.
+
+        It is used until the first observation.
+        """
         timing = ticket.engine.timing
         model = ticket.engine.find(ticket.kind.model)
         if timing is None or model is None:
             return
-        expected = capacity.expect_first(
+        expected = capacity.estimate_first_event_time(
             timing, model.pace, ticket.engine.slots
         )
-        self.backlog.assume_first(ticket.kind, expected)
+        self.backlog.set_initial_estimate(ticket.kind, expected)
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -60,7 +60,7 @@
     Mutant(
         "slow replicas are passed over though most are slow",
         f"{_COORDINATION}/requests/balancing.py",
-        "        if 2 * len(sound) >= len(all_):\n",
+        "        if 2 * len(remaining) >= len(candidates):\n",
         "        if True:\n",
         "tests.test_gateway_parts.BalancerTest"
         ".test_slow_replicas_serve_where_most_are_slow",
@@ -98,15 +98,15 @@
     Mutant(
         "lost answers are kept to oneself",
         f"{_COORDINATION}/requests/balancing.py",
-        "                found[_name_lost(name)] = lost\n",
+        "                counts[_format_lost_key(name)] = lost\n",
         "                pass\n",
         "tests.test_balancing.LostAnswersTest"
-        ".test_what_one_node_lost_the_others_avoid",
+        ".test_nodes_avoid_an_upstream_that_lost_answers_of_others",
     ),
     Mutant(
         "late counts are taken for fresh ones",
         f"{_COORDINATION}/requests/balancing.py",
-        "        if len(drawn) == 2 and self.are_counts_relayed and",
+        "        if len(sampled) == 2 and self.are_counts_relayed and",
         "        if False and",
         "tests.test_balancing.LoadTest"
         ".test_counts_as_old_as_requests_do_not_overrun_replicas",
@@ -129,30 +129,30 @@
     Mutant(
         "the oldest first, in time or not",
         f"{_COORDINATION}/requests/backlog.py",
-        "        if self.is_late(ticket, now):\n            # Whose",
-        "        if True:\n            # Whose",
+        "        if self.is_late(ticket, now):\n            # The",
+        "        if True:\n            # The",
         f"{_PLACING}.BacklogTest"
-        ".test_who_can_be_in_time_goes_before_who_cannot",
+        ".test_requests_that_can_be_in_time_go_before_late_ones",
     ),
     Mutant(
         "no bound to what a replica is sent",
         f"{_COORDINATION}/requests/balancing.py",
-        "        if count_places is not None:\n",
+        "        if get_limit is not None:\n",
         "        if False:\n",
         f"{_PLACING}.SurgeTest.test_most_are_in_time_while_twice_as_many_come",
     ),
     Mutant(
         "a slow gateway blames the replicas",
         f"{_COORDINATION}/requests/placing.py",
-        "        return max(usual, _USUAL_SLOWNESS * least)\n",
+        "        return max(usual, _USUAL_PAUSE_FACTOR * shortest)\n",
         "        return usual\n",
         f"{_PLACING}.PlacerTest"
-        ".test_a_gateway_that_is_slow_itself_does_not_blame_the_replicas",
+        ".test_a_slow_gateway_does_not_lower_the_limits_of_all_replicas",
     ),
     Mutant(
         "an address of another server is tried again",
         f"{_COORDINATION}/requests/balancing.py",
-        "now + _LOSS_EJECTION)\n\n    def note_failure",
+        "now + _LOSS_EJECTION_SECONDS)\n\n    def note_failure",
         "now)\n\n    def note_failure",
         "tests.test_gateway_parts.BalancerTest"
         ".test_a_leader_that_another_server_answers_for_is_avoided",
@@ -163,7 +163,7 @@
         "        if upstream.seat is None or upstream.seat.epoch <= epoch:\n",
         "        if True:\n",
         "tests.test_gateway_parts.BalancerTest"
-        ".test_a_mended_replica_is_not_avoided_for_an_old_verdict",
+        ".test_a_repaired_replica_is_not_avoided_for_an_old_report",
     ),
     Mutant(
         "a domain gives up its model for one of which there is plenty",
@@ -206,8 +206,8 @@
     Mutant(
         "the least busy of all chosen",
         f"{_COORDINATION}/requests/balancing.py",
-        "        drawn = _draw_two(usable, salt)\n",
-        "        drawn = usable\n",
+        "        sampled = _sample_two(usable, salt)\n",
+        "        sampled = usable\n",
         "tests.test_balancing.LoadTest.test_nodes_do_not_all_choose_alike",
     ),
     Mutant(
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -1,4 +1,4 @@
-"""The pure parts of a gateway: choosing, repeating, counting, cutting."""
+"""The parts of a gateway without I/O: choosing, repeating, splitting."""
 
 import unittest
 
@@ -59,20 +59,20 @@
 
 class FleetTest(unittest.TestCase):
     def test_only_whole_open_replicas_serve(self):
-        """A request would run in a replica that lacks an instance."""
+        """Guards against sending requests to a replica without a member."""
         fleet = upstreams.Fleet()
         whole = make_replica("a")
-        torn = make_replica("b")[:1]
+        incomplete = make_replica("b")[:1]
         closed = make_replica("c", phase=Phase.READY)
-        fleet.replace([*whole, *torn, *closed], 1, 0.0)
+        fleet.replace([*whole, *incomplete, *closed], 1, 0.0)
         serving = fleet.list_serving(ids.ServiceName("pool"), "m")
-        self.assertEqual([one.leader.id for one in serving], ["a0"])
+        self.assertEqual([replica.leader.id for replica in serving], ["a0"])
 
     def test_an_older_list_never_replaces_a_newer_one(self):
-        """A drained instance would get requests again.
+        """Guards against sending requests to a drained instance again.
 
-        The store may answer from before a change that this node has
-        acted upon.
+        The store may return a state from before a change that this node
+        has already applied.
         """
         fleet = upstreams.Fleet()
         fleet.replace([make_upstream("a", leaving=True)], 7, 0.0)
@@ -112,7 +112,7 @@
         self.assertIsNone(table.find_route("h.example", "/ab/"))
 
     def test_a_request_keeps_its_service(self):
-        """A retry inside one request must not move to another service."""
+        """Guards against a retry that moves to another service."""
         route = make_route()
         split = routes.Route(
             name="r",
@@ -155,10 +155,10 @@
         self.balancer.expire(10.0)
         self.assertEqual(self.balancer.count_load(ids.InstanceId("b0")), 0)
 
-    def test_a_stalled_leader_is_avoided_until_its_replica_is_mended(self):
-        """Requests would go on piling up at a leader that stalls.
+    def test_a_stalled_leader_is_avoided_until_its_replica_is_repaired(self):
+        """Guards against requests that pile up at a stalled leader.
 
-        Its member is gone; it still takes connections. The mended
+        Its member has gone, but it still accepts connections. The repaired
         replica has a higher epoch and must not be avoided.
         """
         for name in ("a0", "b0"):
@@ -174,11 +174,11 @@
         self.balancer.note_loss(ids.InstanceId("a0"), 1, 1.0)
         self.assertEqual(self.choose(1.1).id, "b0")
 
-    def test_a_mended_replica_is_not_avoided_for_an_old_verdict(self):
-        """Places were lost for four seconds after each loss.
+    def test_a_repaired_replica_is_not_avoided_for_an_old_report(self):
+        """Guards against losing capacity for four seconds after each loss.
 
-        Relays repeat a verdict for a second; meanwhile the leader leads
-        the replica that was mended.
+        Relays repeat a report for a second, when the instance may already
+        lead the repaired replica.
         """
         self.fleet.replace(
             [*make_replica("a", epoch=2), *make_replica("b")], 2, 1.0
@@ -191,10 +191,11 @@
         self.assertEqual(self.choose(1.3).id, "b0")
 
     def test_a_leader_that_another_server_answers_for_is_avoided(self):
-        """Requests were refused although another replica was idle.
+        """Guards against refusing requests although a replica is idle.
 
-        The list is old: one of its servers has gone, another one has the
-        address and answers each request with 421. The entry looks idle.
+        The list is outdated: one of its servers has gone, and another one
+        has its address and answers each request with 421. The entry looks
+        idle.
         """
         gone = self.fleet.get(ids.InstanceId("a0"))
         self.balancer.begin(ids.InstanceId("b0"))
@@ -205,10 +206,11 @@
         )
         self.assertEqual(self.choose(4.2).id, "a0")
 
-    def test_a_mended_replica_may_be_tried_again(self):
-        """A stream would end although its replica stands again.
+    def test_a_repaired_replica_may_be_tried_again(self):
+        """Guards against ending a stream although a replica could serve it.
 
-        Both replicas broke under it; one is mended under a new epoch.
+        Both replicas that it tried failed; one of them is repaired under a
+        new epoch.
         """
         tried = {"a0@1", "b0@1"}
         self.assertIsInstance(self.choose(1.0, tried), balancing.Unavailable)
@@ -217,26 +219,29 @@
         )
         self.assertEqual(self.choose(1.2, tried).id, "a0")
 
-    def test_no_replica_is_told_with_a_time_to_come_back(self):
+    def test_without_replicas_there_is_a_time_to_retry(self):
         self.fleet.replace([], 2, 1.0)
         found = self.choose()
         self.assertIsInstance(found, balancing.Unavailable)
         self.assertGreater(found.retry_after, 0)
 
-    def test_a_slow_replica_is_passed_over(self):
-        """Thirty requests a second stalled at replicas with a slow member."""
+    def test_a_slow_replica_is_avoided(self):
+        """Guards against stalls at replicas with a slow member.
+
+        They affected thirty requests a second.
+        """
         self.balancer.begin(ids.InstanceId("b0"))
         self.balancer.note_slow(ids.InstanceId("a0"), 1, 1.0)
         self.assertEqual(self.choose(1.1).id, "b0")
         self.assertEqual(self.choose(3.5).id, "a0")
 
     def test_slow_replicas_serve_where_most_are_slow(self):
-        """Callers were refused although every replica answered, if late."""
+        """Guards against refusing callers where all replicas are slow."""
         for name in ("a0", "b0"):
             self.balancer.note_slow(ids.InstanceId(name), 1, 1.0)
         self.assertIsInstance(self.choose(1.1), upstreams.Upstream)
 
-    def test_a_mended_replica_is_not_slow_for_its_last_members(self):
+    def test_a_repaired_replica_is_not_avoided_as_slow(self):
         self.fleet.replace(
             [*make_replica("a", epoch=2), *make_replica("b")], 2, 1.0
         )
@@ -245,9 +250,12 @@
         self.assertEqual(self.choose(1.1).id, "a0")
 
     def test_a_failing_upstream_gets_fewer_requests(self):
-        """One server fails two of five requests though it looks well."""
-        grey = self.fleet.get(ids.InstanceId("a0"))
-        self.balancer.note_failure(grey, 1.0, False)
+        """Guards against a server that looks healthy but fails some requests.
+
+        It fails two of five.
+        """
+        failing = self.fleet.get(ids.InstanceId("a0"))
+        self.balancer.note_failure(failing, 1.0, False)
         self.balancer.begin(ids.InstanceId("b0"))
         self.assertEqual(self.choose().id, "b0")
 
@@ -257,16 +265,16 @@
         return attempts.decide(route, failure, attempts.Progress(**progress))
 
     def test_what_may_have_run_is_not_repeated_on_unsafe_routes(self):
-        """A lot would be booked twice.
+        """Guards against booking twice.
 
-        The answer of a booking is lost after it was sent.
+        The answer to a booking is lost after the request was sent.
         """
         route = make_route(kind=routes.RouteKind.UNSAFE, attempts=1)
         for failure in (Failure.LOST, Failure.STALLED, Failure.ERROR):
             verdict = self.decide(route, failure, sends=1, runs=1)
             self.assertIs(verdict, Verdict.GIVE_UP)
 
-    def test_what_has_not_run_goes_elsewhere_on_any_route(self):
+    def test_what_has_not_run_is_repeated_on_any_route(self):
         route = make_route(kind=routes.RouteKind.UNSAFE, attempts=1)
         for failure in (Failure.UNREACHED, Failure.NOT_RUN):
             verdict = self.decide(route, failure, sends=1)
@@ -277,14 +285,14 @@
         verdict = self.decide(route, Failure.LOST, sends=1, runs=1)
         self.assertIs(verdict, Verdict.GIVE_UP)
 
-    def test_runs_end_at_the_routes_attempts(self):
+    def test_a_request_runs_at_most_as_often_as_its_route_allows(self):
         route = make_route(attempts=2)
         repeat = self.decide(route, Failure.LOST, sends=1, runs=1)
         last = self.decide(route, Failure.LOST, sends=2, runs=2)
         self.assertIsNot(repeat, Verdict.GIVE_UP)
         self.assertIs(last, Verdict.GIVE_UP)
 
-    def test_what_made_an_answer_late_is_told(self):
+    def test_the_objective_that_an_answer_missed_is_found(self):
         route = make_route(target=0.4, gap=0.2)
         find = attempts.find_lateness
         self.assertIsNone(find(route, 0.3, 0.1))
@@ -292,31 +300,35 @@
         self.assertIs(find(route, 0.3, 0.25), attempts.Lateness.PAUSE)
         self.assertIsNone(find(make_route(), 9.0, 9.0))
 
-    def test_a_hint_grows_with_the_outage_seen_so_far(self):
-        """Callers came back after half a second and were refused again.
+    def test_the_start_delay_grows_with_the_outage(self):
+        """Guards against callers that return too soon and are refused again.
 
-        All nodes start anew while the store is down for six seconds.
+        All nodes restart while the store is down for six seconds, and the
+        callers were told to come back after half a second.
         """
         self.assertEqual(attempts.hint_start(0.1), 0.5)
         self.assertEqual(attempts.hint_start(3.0), 3.0)
 
-    def test_a_refusal_is_only_said_of_what_has_not_run(self):
-        """A caller is told "not run" and books again: twice booked."""
-        clean = attempts.Progress(sends=2, runs=0)
-        maybe = attempts.Progress(sends=1, runs=1)
+    def test_only_a_request_that_has_not_run_ends_as_refused(self):
+        """Guards against booking twice.
+
+        A caller that is told "not run" books again.
+        """
+        not_run = attempts.Progress(sends=2, runs=0)
+        may_have_run = attempts.Progress(sends=1, runs=1)
         refused = attempts.Ending.REFUSED
-        self.assertIs(attempts.end_unserved(clean, True), refused)
+        self.assertIs(attempts.end_unserved(not_run, True), refused)
         for in_time in (True, False):
-            ending = attempts.end_unserved(maybe, in_time)
+            ending = attempts.end_unserved(may_have_run, in_time)
             self.assertIsNot(ending, refused)
 
 
 class BudgetTest(unittest.TestCase):
-    def test_all_nodes_together_stay_below_the_bound(self):
-        """An outage doubles the load just when it can be borne least.
+    def test_all_nodes_together_stay_below_the_limit(self):
+        """Guards against repeats that double the load during an outage.
 
         Load: 13 nodes, each with 60 requests in a window, all of which
-        fail and ask for a repeat; the nodes cannot hear each other.
+        fail and ask for a repeat. The nodes exchange no messages.
         """
         nodes = [budgets.RepeatBudget(0.2, 282.0, 10.0) for _ in range(13)]
         taken = 0
@@ -329,7 +341,7 @@
         self.assertLess(taken, 0.2 * 13 * 60 + 282)
         self.assertGreater(taken, 0.1 * 13 * 60)
 
-    def test_the_share_does_not_grow_when_others_fall_silent(self):
+    def test_the_share_does_not_grow_when_other_nodes_go_silent(self):
         budget = budgets.RepeatBudget(0.0, 100.0, 10.0)
         budget.note_nodes(10)
         budget.note_nodes(1)
@@ -369,30 +381,30 @@
         return self.presence.note_heartbeat(heartbeat, now)
 
     def list_ready(self, now):
-        return [one.id for one in self.presence.list_ready(now)]
+        return [node.id for node in self.presence.list_ready(now)]
 
-    def test_a_silent_node_is_no_longer_given_to_callers(self):
+    def test_a_silent_node_is_no_longer_listed_for_callers(self):
         self.beat("a", 1.0)
         self.assertEqual(self.list_ready(2.0), ["a"])
         self.assertEqual(self.list_ready(4.0), [])
 
-    def test_a_leaving_node_is_taken_out_with_its_next_heartbeat(self):
+    def test_a_leaving_node_is_removed_with_its_next_heartbeat(self):
         self.beat("a", 1.0)
         self.beat("a", 1.4, serial=2, ready=False)
         self.assertEqual(self.list_ready(1.5), [])
 
     def test_a_late_heartbeat_changes_nothing(self):
-        """A node that stops would be given to callers again.
+        """Guards against listing a stopping node for callers again.
 
-        Datagrams overtake each other, and those of the process before
-        may come after its successor's.
+        Datagrams may arrive out of order, also those of a process and of
+        its successor.
         """
         self.beat("a", 1.0, incarnation=2, serial=5, ready=False)
         self.assertFalse(self.beat("a", 1.1, incarnation=2, serial=4))
         self.assertFalse(self.beat("a", 1.1, incarnation=1, serial=9))
         self.assertEqual(self.list_ready(1.2), [])
 
-    def test_the_order_of_preference_is_the_same_for_all(self):
+    def test_all_nodes_rank_nodes_in_the_same_order(self):
         other = presence.Presence(self.make_entry("a", 1))
         self.beat("a", 1.0)
         heartbeat = presence.Heartbeat(
@@ -415,11 +427,11 @@
         for size in [*sizes, len(rest)]:
             found += splitter.feed(rest[:size])
             rest = rest[size:]
-        self.assertEqual([one.id for one in found], ["1", "2", "3"])
-        self.assertEqual(b"".join(one.data for one in found), self.STREAM)
+        self.assertEqual([event.id for event in found], ["1", "2", "3"])
+        self.assertEqual(b"".join(event.data for event in found), self.STREAM)
 
     def test_a_part_of_an_event_is_held_back(self):
-        """A caller would get half an event and then the whole one."""
+        """Guards against sending half an event and then the whole one."""
         splitter = events.Splitter()
         self.assertEqual(splitter.feed(b"id: 1\ndata: a\n"), [])
         self.assertEqual(splitter.rest, b"id: 1\ndata: a\n")
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -1,4 +1,4 @@
-"""Load at its worst, replayed: what waits, who goes first, who is refused."""
+"""Overload in virtual time: which requests wait, go first or are refused."""
 
 import unittest
 
@@ -22,8 +22,8 @@
 class SurgeTest(unittest.TestCase):
     """Twice the usual traffic for eight seconds.
 
-    Load: 15 gateways before six replicas of 13 places, 60 in 100 of them
-    taken at the usual load.
+    Load: 15 gateways in front of six replicas of 13 slots, 60 in 100 of
+    which are taken at the usual load.
     """
 
     def play(self, factor, seed):
@@ -32,25 +32,25 @@
         return replay
 
     def test_most_are_in_time_while_twice_as_many_come(self):
-        """Nine in ten callers were answered, all too late.
+        """Guards against nine in ten callers being answered too late.
 
-        Each replica works on requests whose time is up, while newer ones
-        wait behind them.
+        Each replica works on requests that are already late, while newer
+        ones wait behind them.
         """
         for seed in (1, 2, 3):
             share = self.play(2.0, seed).share_in_time(8.0, 16.0)
             self.assertGreater(share, 0.6, seed)
 
-    def test_it_is_over_a_second_after_the_load(self):
-        """Callers waited for six more seconds after the load was gone."""
+    def test_requests_are_in_time_a_second_after_the_load(self):
+        """Guards against callers waiting six seconds after the load ended."""
         for seed in (1, 2, 3):
             share = self.play(2.0, seed).share_in_time(17.0, 26.0)
             self.assertGreater(share, 0.95, seed)
 
-    def test_nothing_is_refused_while_places_are_free(self):
-        """Callers were sent away at the usual load.
+    def test_nothing_is_refused_while_slots_are_free(self):
+        """Guards against refusing callers at the usual load.
 
-        Counts that are a moment old made replicas look full.
+        Counts that are a moment old make replicas look full.
         """
         for seed in (1, 2, 3):
             replay = self.play(1.0, seed)
@@ -61,55 +61,58 @@
 class BacklogTest(unittest.TestCase):
     def setUp(self):
         self.backlog = backlog.Backlog()
-        self.backlog.assume_first(_KIND, 0.1)
+        self.backlog.set_initial_estimate(_KIND, 0.1)
 
-    def list_names(self, now):
-        found = self.backlog.list_tickets(_KIND, now)
-        return [one.request for one in found]
+    def list_requests(self, now):
+        tickets = self.backlog.list_tickets(_KIND, now)
+        return [ticket.request for ticket in tickets]
 
-    def test_who_can_be_in_time_goes_before_who_cannot(self):
+    def test_requests_that_can_be_in_time_go_before_late_ones(self):
         self.backlog.add(make_ticket("late", 0.0))
         self.backlog.add(make_ticket("older", 0.5))
         self.backlog.add(make_ticket("newer", 0.6))
-        self.assertEqual(self.list_names(0.65), ["newer", "older", "late"])
+        self.assertEqual(self.list_requests(0.65), ["newer", "older", "late"])
 
     def test_a_higher_rank_goes_first_among_those_in_time(self):
         self.backlog.add(make_ticket("first", 0.0, rank=0))
         self.backlog.add(make_ticket("second", 0.1, rank=1))
-        self.assertEqual(self.list_names(0.1), ["first", "second"])
+        self.assertEqual(self.list_requests(0.1), ["first", "second"])
 
-    def test_late_ones_go_before_their_callers_give_up(self):
+    def test_late_requests_go_in_the_order_their_callers_give_up(self):
         self.backlog.add(make_ticket("b", 0.2))
         self.backlog.add(make_ticket("a", 0.1))
-        self.assertEqual(self.list_names(1.5), ["a", "b"])
+        self.assertEqual(self.list_requests(1.5), ["a", "b"])
 
     def test_one_surge_does_not_make_every_request_look_late(self):
-        """Nobody was in time any more once a surge had begun.
+        """Guards against all requests being late once a surge has begun.
 
-        First events take longer while replicas are full; with their mean
-        no request could be in time, and all went in order of arrival.
+        First events take longer while replicas are full. By their mean no
+        request could be in time, and all would go in order of arrival.
         """
         for number in range(100):
             self.backlog.note_first(_KIND, 0.1 if number % 3 == 0 else 0.9)
         self.assertLess(self.backlog.expect_first(_KIND), 0.3)
 
-    def test_what_cannot_begin_in_time_is_turned_away_at_once(self):
-        """Callers were held until they gave up, and then not served.
+    def test_requests_that_cannot_start_in_time_are_rejected_at_once(self):
+        """Guards against holding callers until they give up, unserved.
 
-        Forty late requests wait and one gets a place each half second:
-        callers bear two seconds.
+        Forty late requests wait and one starts every half second, but
+        callers wait for two seconds only.
         """
         for number in range(40):
             self.backlog.add(make_ticket(f"r{number:02}", 0.0))
         for number in range(4):
             self.backlog.note_start(_KIND, True, number * 0.5)
-        hopeless = self.backlog.list_hopeless(_KIND, 1.5)
-        self.assertGreater(len(hopeless), 35)
-        names = {one.request for one in hopeless}
-        self.assertNotIn(self.list_names(1.5)[0], names)
+        unservable = self.backlog.list_unservable(_KIND, 1.5)
+        self.assertGreater(len(unservable), 35)
+        names = {ticket.request for ticket in unservable}
+        self.assertNotIn(self.list_requests(1.5)[0], names)
 
-    def test_a_hint_grows_with_the_load_that_has_lasted(self):
-        """Callers came back after half a second and were refused again."""
+    def test_retry_after_grows_with_the_time_the_load_has_lasted(self):
+        """Guards against callers that return too soon and are refused again.
+
+        They were told to come back after half a second.
+        """
         self.backlog.add(make_ticket("a", 0.0))
         self.assertEqual(
             self.backlog.estimate_retry_after(_KIND, 1.3, 0.1), 2.0
@@ -118,10 +121,10 @@
             self.backlog.estimate_retry_after(_KIND, 1.3, 5.0), 5.0
         )
 
-    def test_gateways_share_the_places_that_all_hear_of(self):
-        """Fifteen gateways gave the same free place to a request each."""
-        self.assertAlmostEqual(backlog.divide_places(3, 2, 28), 0.2)
-        self.assertGreater(backlog.divide_places(3, 2, 1), 2)
+    def test_gateways_share_the_slots_that_all_see_as_free(self):
+        """Guards against gateways that each fill the same free slot."""
+        self.assertAlmostEqual(backlog.divide_slots(3, 2, 28), 0.2)
+        self.assertGreater(backlog.divide_slots(3, 2, 1), 2)
 
 
 class PlacerTest(unittest.TestCase):
@@ -148,10 +151,10 @@
                 ids.InstanceId(leader), seconds, number * 0.05
             )
 
-    def test_a_replica_gets_what_it_works_on_and_one_more(self):
+    def test_a_replica_gets_one_request_more_than_its_limit(self):
         self.assertEqual(self.fill_up(), 14)
 
-    def test_a_late_request_leaves_places_for_those_in_time(self):
+    def test_a_late_request_leaves_slots_for_those_in_time(self):
         late = make_ticket("late", 0.0)
         for _ in range(11):
             self.balancer.begin(ids.InstanceId("i0"))
@@ -160,20 +163,20 @@
         found = self.placer.ask(make_ticket("new", 1.0), 1.0)
         self.assertIsInstance(found, placing.Placement)
 
-    def test_the_place_of_an_ended_request_is_given_on(self):
+    def test_the_slot_of_an_ended_request_goes_to_a_waiting_one(self):
         self.fill_up()
         self.placer.add(make_ticket("next", 0.0))
         self.assertEqual(self.placer.replace_ended(0.01), [])
         self.balancer.end(ids.InstanceId("i0"))
-        (given,) = self.placer.replace_ended(0.02)
-        self.assertEqual(given.ticket.request, "next")
+        (placement,) = self.placer.replace_ended(0.02)
+        self.assertEqual(placement.ticket.request, "next")
         self.assertEqual(self.placer.backlog.count(_KIND), 0)
 
-    def test_a_slow_replica_is_left_to_what_it_can_bear(self):
-        """A quarter of all streams paused for longer than is allowed.
+    def test_a_slow_replica_has_a_lower_limit(self):
+        """Guards against long pauses in a quarter of all streams.
 
-        One of two replicas has a member that works six times as slowly;
-        it takes as many requests as the other.
+        One of two replicas has a member that is six times as slow, but
+        takes as many requests as the other.
         """
         self.fleet.replace([make_leader(0), make_leader(1)], 2, 0.0)
         self.note_pauses("i0", 0.5)
@@ -182,36 +185,37 @@
         self.assertEqual(self.balancer.count_load(ids.InstanceId("i0")), 2)
         self.assertEqual(self.balancer.count_load(ids.InstanceId("i1")), 14)
 
-    def test_a_gateway_that_is_slow_itself_does_not_blame_the_replicas(self):
-        """A gateway refused its callers although the replicas were idle.
+    def test_a_slow_gateway_does_not_lower_the_limits_of_all_replicas(self):
+        """Guards against refusing callers although the replicas are idle.
 
-        It is short of processor time, and all streams pause at it.
+        A gateway that is short of processor time observes long pauses in
+        all its streams.
         """
         self.fleet.replace([make_leader(0), make_leader(1)], 2, 0.0)
         self.note_pauses("i0", 0.5)
         self.note_pauses("i1", 0.45)
         self.assertEqual(self.fill_up(2.5), 28)
 
-    def test_no_replica_at_all_is_told_at_once(self):
+    def test_a_request_does_not_wait_where_no_replica_exists(self):
         self.fleet.replace([], 2, 1.0)
         found = self.placer.ask(make_ticket("a", 1.0), 1.0)
         self.assertFalse(found.is_full)
 
 
 class CapacityTest(unittest.TestCase):
-    def test_a_batch_keeps_to_the_longest_pause(self):
-        """Every stream of a replica pauses for too long at once."""
-        count = capacity.count_places(_ENGINE, "m", 0.25)
-        self.assertEqual(count, 13)
-        slow = capacity.count_places(_ENGINE, "m", 0.25, 3.5)
+    def test_the_limit_keeps_pauses_within_the_allowed_gap(self):
+        """Guards against too long a pause in every stream of a replica."""
+        limit = capacity.compute_limit(_ENGINE, "m", 0.25)
+        self.assertEqual(limit, 13)
+        slow = capacity.compute_limit(_ENGINE, "m", 0.25, 3.5)
         self.assertTrue(1 <= slow < 13)
-        pause = capacity.expect_pass(_TIMING, 3.5, slow)
-        pause += capacity.expect_read(_TIMING, 3.5)
+        pause = capacity.estimate_pass_time(_TIMING, 3.5, slow)
+        pause += capacity.estimate_prompt_time(_TIMING, 3.5)
         self.assertLessEqual(pause, 0.25)
 
-    def test_an_engine_that_tells_no_timing_is_given_its_slots(self):
+    def test_without_timing_the_limit_is_the_number_of_slots(self):
         engine = msgspec.structs.replace(_ENGINE, timing=None)
-        self.assertEqual(capacity.count_places(engine, "m", 0.25), 13)
+        self.assertEqual(capacity.compute_limit(engine, "m", 0.25), 13)
 
 
 if __name__ == "__main__":
