--- a/bench/surge.py
+++ b/bench/surge.py
@@ -46,7 +46,7 @@
     tickets = [surge.make_ticket(f"r{n}") for n in range(_DECISIONS)]
     began = time.perf_counter()
     for ticket in tickets:
-        found = placer.ask(ticket, 0.0)
+        found = placer.try_place(ticket, 0.0)
         if isinstance(found, placing.Placement):
             balancer.end(found.upstream.id)
     return (time.perf_counter() - began) / _DECISIONS * 1e6
--- a/currantwall/coordination/requests/attempts.py
+++ b/currantwall/coordination/requests/attempts.py
@@ -22,7 +22,7 @@
     "Progress",
     "Verdict",
     "decide",
-    "end_unserved",
+    "choose_ending",
     "find_lateness",
 ]
 
@@ -31,13 +31,13 @@
 # Seconds of silence between two events of a stream after which its replica
 # is probed. A working replica sends an event every 45 to 60 ms, or after
 # 150 ms if it reads a long prompt in between.
-DOUBT = 0.15
+PROBE_DELAY = 0.15
 # Seconds of silence between two events of a stream after which the stream
 # is resumed at another replica without waiting for the probe's result.
-STALL = 0.5
+STALL_TIMEOUT = 0.5
 # Seconds of silence before the first event after which the replica is
 # probed.
-FIRST_DOUBT = 0.25
+FIRST_PROBE_DELAY = 0.25
 # Timeout before the first event: a multiple of the route's target, and a
 # minimum in seconds. A full replica takes half a second to begin: a
 # shorter timeout only moves the request to the next full one.
@@ -149,7 +149,7 @@
     return None
 
 
-def wait_for_answer(route: routes.Route) -> float | None:
+def get_answer_timeout(route: routes.Route) -> float | None:
     """Return the seconds after which a whole answer counts as stalled.
 
     Nothing of such an answer arrives before it is complete. None where a
@@ -182,7 +182,7 @@
     return Verdict.REPEAT_PAID
 
 
-def end_unserved(progress: Progress, in_time: bool) -> Ending:
+def choose_ending(progress: Progress, in_time: bool) -> Ending:
     """Return the error for a request that no upstream answered.
 
     Args:
@@ -194,7 +194,7 @@
     return Ending.BAD_GATEWAY if in_time else Ending.TIMED_OUT
 
 
-def wait_for_start(uptime: float) -> float:
+def get_start_hold(uptime: float) -> float:
     """Return the seconds for which a starting node may hold a request.
 
     The load pattern: all nodes restart at once, and callers connect as
@@ -208,7 +208,7 @@
     return max(0.0, _START_HOLD - uptime)
 
 
-def hint_start(uptime: float) -> float:
+def estimate_start_delay(uptime: float) -> float:
     """Return an estimate of the seconds until a node has a configuration.
 
     Failure: all nodes start while the store is down. Callers that are told
@@ -221,7 +221,7 @@
     return max(_CONFIGURATION_SECONDS, uptime)
 
 
-def bear_silence(route: routes.Route) -> float:
+def get_caller_patience(route: routes.Route) -> float:
     """Return the seconds without an event after which callers give up."""
     return max(
         _MIN_PATIENCE,
@@ -230,7 +230,7 @@
     )
 
 
-def wait_for_first(route: routes.Route) -> float | None:
+def get_first_event_timeout(route: routes.Route) -> float | None:
     """Return the seconds after which a missing first event is a stall.
 
     None where a second attempt is not allowed: then it is better to wait
--- a/currantwall/coordination/requests/backlog.py
+++ b/currantwall/coordination/requests/backlog.py
@@ -52,8 +52,8 @@
         arrived: Monotonic time at which it began to wait.
         objective: Monotonic time by which its first event must come to be
             in time.
-        patience: Monotonic time by which it must start; later its caller
-            gives up before the first event.
+        start_deadline: Monotonic time by which it must start; otherwise its
+            caller gives up before the first event.
         rank: Rank among requests that can be in time; 0 goes first.
         excluded: Replicas that it has tried, by `Upstream.life`.
     """
@@ -64,7 +64,7 @@
     gap: float
     arrived: float
     objective: float
-    patience: float
+    start_deadline: float
     rank: int = 0
     excluded: abc.Container[str] = ()
 
@@ -145,7 +145,7 @@
 
     def is_late(self, ticket: Ticket, now: float) -> bool:
         """Return whether a request that starts now would be late."""
-        return now + self.expect_first(ticket.kind) > ticket.objective
+        return now + self.estimate_first_event(ticket.kind) > ticket.objective
 
     def _make_sort_key(
         self, ticket: Ticket, queue: _Queue, now: float
@@ -153,7 +153,7 @@
         """Return the key that sorts requests by the order they start in."""
         if self.is_late(ticket, now):
             # The request whose caller gives up first goes first.
-            return True, 0, ticket.patience
+            return True, 0, ticket.start_deadline
         return False, ticket.rank, -ticket.objective
 
     # -- Estimates
@@ -176,7 +176,7 @@
         if queue.first_event is None:
             queue.first_event = _FirstEventEstimate(seconds)
 
-    def expect_first(self, kind: Kind) -> float:
+    def estimate_first_event(self, kind: Kind) -> float:
         """Return the estimated seconds from a start to the first event."""
         estimate = self._get(kind).first_event
         if estimate is None:
@@ -211,7 +211,7 @@
         for ticket in self.list_tickets(kind, now):
             late = self.is_late(ticket, now)
             starts = now + late_ahead / rate if late else now
-            if starts > ticket.patience:
+            if starts > ticket.start_deadline:
                 unservable.append(ticket)
             else:
                 late_ahead += late
@@ -274,10 +274,10 @@
 
 def format_counts(counts: abc.Mapping[Kind, int]) -> dict[str, int]:
     """Return counts of waiting requests, keyed as gateways report them."""
-    return {name_count(kind): count for kind, count in counts.items()}
+    return {format_count_key(kind): count for kind, count in counts.items()}
 
 
-def name_count(kind: Kind) -> str:
+def format_count_key(kind: Kind) -> str:
     """Return the key under which a kind's waiting requests are reported.
 
     They are sent in one mapping with the counts by upstream. The slash
--- a/currantwall/coordination/requests/loads.py
+++ b/currantwall/coordination/requests/loads.py
@@ -12,7 +12,7 @@
 __all__ = ["RemoteLoads"]
 
 # Seconds after which the counts of a silent node are dropped.
-_LOAD_AGE = 2.0
+_LOAD_TTL = 2.0
 
 
 class RemoteLoads:
@@ -52,6 +52,6 @@
         # `note` moves a node to the end, so the oldest report comes first.
         while self._reports:
             node, (reported_at, _) = next(iter(self._reports.items()))
-            if now - reported_at <= _LOAD_AGE:
+            if now - reported_at <= _LOAD_TTL:
                 return
             self._drop(node)
--- a/currantwall/coordination/requests/placing.py
+++ b/currantwall/coordination/requests/placing.py
@@ -96,7 +96,7 @@
 
     # -- One request
 
-    def ask(
+    def try_place(
         self, ticket: Ticket, now: float
     ) -> Placement | balancing.Unavailable:
         """Assign a slot to a request that has just arrived, if one is free.
@@ -124,7 +124,7 @@
         """Return whether a request that starts now would be late."""
         return self.backlog.is_late(ticket, now)
 
-    def is_pressed(self, upstream: upstreams.Upstream) -> bool:
+    def is_nearly_full(self, upstream: upstreams.Upstream) -> bool:
         """Return whether a replica is nearly full."""
         load = self._balancer.count_load(upstream.id)
         return load > _NEARLY_FULL_SHARE * upstream.slots
@@ -180,7 +180,7 @@
             now,
         )
         others = self._balancer.count_remote_waiting(
-            backlog_module.name_count(kind)
+            backlog_module.format_count_key(kind)
         )
         share = backlog_module.divide_slots(free, len(tickets), others)
         credit = self._credit.get(kind, 0.0) + share * TICK / _COUNT_AGE
--- a/currantwall/transport/duties.py
+++ b/currantwall/transport/duties.py
@@ -326,7 +326,7 @@
                 expected = model.share * max(_EXPECTED_BUSY - total, 0)
                 kind = backlog.Kind(one.service, model.name)
                 waiting = self._balancer.count_all_waiting(
-                    backlog.name_count(kind)
+                    backlog.format_count_key(kind)
                 )
                 need = busy.get(model.name, 0) + waiting + expected
                 found[model.name] = formation.Demand(
--- a/currantwall/transport/forwarding.py
+++ b/currantwall/transport/forwarding.py
@@ -68,7 +68,7 @@
         if self._opened.ready():
             return
         lasted = self._sender.now() - self._began
-        with eventlet.Timeout(attempts.wait_for_start(lasted), False):
+        with eventlet.Timeout(attempts.get_start_hold(lasted), False):
             self._opened.wait()
 
     def serve(self, inbound: ingress.Inbound) -> Reply:
@@ -103,7 +103,9 @@
         if self.is_closed:
             raise requests.Refused(503, "stopping", 0.0)
         if table is None:
-            hint = attempts.hint_start(self._sender.now() - self._began)
+            hint = attempts.estimate_start_delay(
+                self._sender.now() - self._began
+            )
             raise requests.Refused(503, "no configuration yet", hint)
         host = inbound.headers["host"].partition(":")[0]
         route = table.find_route(host, inbound.path)
@@ -113,7 +115,7 @@
         name = route.choose_service(attempt)
         service = table.find_service(name)
         if service is None:
-            hint = attempts.hint_start(0.0)
+            hint = attempts.estimate_start_delay(0.0)
             raise requests.Refused(503, "unknown service", hint)
         budget = _read_budget(inbound.headers.get(self._names.budget))
         limit = route.timeout
--- a/currantwall/transport/queues.py
+++ b/currantwall/transport/queues.py
@@ -67,9 +67,9 @@
         The place is counted as taken. Raises `requests.CallerLeft`.
         """
         ticket = self._make_ticket(request)
-        found = self._placer.ask(ticket, self._now())
+        found = self._placer.try_place(ticket, self._now())
         if isinstance(found, placing.Placement):
-            if self._placer.is_pressed(found.upstream):
+            if self._placer.is_nearly_full(found.upstream):
                 self.on_pressure()
             return found.upstream
         if not found.is_full:
@@ -108,7 +108,7 @@
         self, waiting: _Waiting, ticket: backlog.Ticket
     ) -> upstreams.Upstream | balancing.Unavailable:
         while True:
-            left = max(ticket.patience - self._now(), 0.0)
+            left = max(ticket.start_deadline - self._now(), 0.0)
             try:
                 message = waiting.request.inbox.get(timeout=left)
             except eventlet.queue.Empty:
@@ -133,8 +133,8 @@
         route = request.route
         kind = _make_kind(request)
         received = request.inbound.received
-        gives_up = received + attempts.bear_silence(route)
-        first = self._placer.backlog.expect_first(kind)
+        gives_up = received + attempts.get_caller_patience(route)
+        first = self._placer.backlog.estimate_first_event(kind)
         objective = received - self._measure_before(request) + route.target
         return backlog.Ticket(
             request=f"{request.attempt}{request.progress.sends}",
@@ -143,7 +143,7 @@
             gap=route.gap,
             arrived=self._now(),
             objective=objective if route.target else gives_up,
-            patience=min(gives_up, request.limit) - first,
+            start_deadline=min(gives_up, request.limit) - first,
             rank=_rank(request),
             excluded=request.tried,
         )
@@ -171,7 +171,7 @@
         Failure: a replica that was full has a free place that only this
         gateway knows of, and the others hold requests back from it.
         """
-        if self._placer.is_pressed(upstream):
+        if self._placer.is_nearly_full(upstream):
             self.on_pressure()
         if self._waiting:
             self._give(self._placer.replace_ended(self._now()))
@@ -203,7 +203,7 @@
                 waited=round(waited, 4),
                 in_time=placement.in_time,
                 expected_first=round(
-                    self._placer.backlog.expect_first(ticket.kind), 4
+                    self._placer.backlog.estimate_first_event(ticket.kind), 4
                 ),
                 load=self._balancer.count_load(upstream.id),
                 behind=self._placer.backlog.count(ticket.kind),
--- a/currantwall/transport/sending.py
+++ b/currantwall/transport/sending.py
@@ -317,7 +317,7 @@
     ) -> requests.Refused:
         """Return the final answer of a request without one."""
         in_time = self.now() < request.limit
-        ending = attempts.end_unserved(request.progress, in_time)
+        ending = attempts.choose_ending(request.progress, in_time)
         if ending is attempts.Ending.REFUSED:
             return requests.Refused(503, why, retry_after)
         if ending is attempts.Ending.BAD_GATEWAY:
--- a/currantwall/transport/streams.py
+++ b/currantwall/transport/streams.py
@@ -117,8 +117,8 @@
             gap: Seconds of silence that count as a stall; None before
                 the first event.
         """
-        patience = gap or attempts.wait_for_first(request.route)
-        doubt = attempts.DOUBT if gap else attempts.FIRST_DOUBT
+        patience = gap or attempts.get_first_event_timeout(request.route)
+        doubt = attempts.PROBE_DELAY if gap else attempts.FIRST_PROBE_DELAY
         if not self._sender.may_go_on(request):
             patience = None
         doubted = False
@@ -170,7 +170,9 @@
                         yield splitter.rest
                     return
                 before = current.heard
-                message = self._next_message(request, current, attempts.STALL)
+                message = self._next_message(
+                    request, current, attempts.STALL_TIMEOUT
+                )
                 if message is None:
                     current, splitter, ready, ended = self._resume(request)
                 elif isinstance(message, exchanges.Data):
--- a/currantwall/transport/wholes.py
+++ b/currantwall/transport/wholes.py
@@ -48,7 +48,7 @@
         self, request: requests.Request, current: requests.Try
     ) -> Reply | None:
         """Return an attempt's answer, or None once it was noted failed."""
-        patience = attempts.wait_for_answer(request.route)
+        patience = attempts.get_answer_timeout(request.route)
         parts: list[bytes] = []
         until = request.limit
         if patience is not None and request.progress.runs + 1 < (
--- a/standins/surge.py
+++ b/standins/surge.py
@@ -69,7 +69,7 @@
         gap=0.25,
         arrived=arrived,
         objective=arrived + TARGET,
-        patience=arrived + _BORNE,
+        start_deadline=arrived + _BORNE,
     )
     return msgspec.structs.replace(ticket, **fields)
 
@@ -192,7 +192,7 @@
             self._balancers[node].begin(found.id)
             self._send(now, node, placing.Placement(ticket, found, True))
             return
-        asked = self._placers[node].ask(ticket, now)
+        asked = self._placers[node].try_place(ticket, now)
         if isinstance(asked, placing.Placement):
             self._send(now, node, asked)
         else:
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -306,8 +306,8 @@
         All nodes restart while the store is down for six seconds, and the
         callers were told to come back after half a second.
         """
-        self.assertEqual(attempts.hint_start(0.1), 0.5)
-        self.assertEqual(attempts.hint_start(3.0), 3.0)
+        self.assertEqual(attempts.estimate_start_delay(0.1), 0.5)
+        self.assertEqual(attempts.estimate_start_delay(3.0), 3.0)
 
     def test_only_a_request_that_has_not_run_ends_as_refused(self):
         """Guards against booking twice.
@@ -317,9 +317,9 @@
         not_run = attempts.Progress(sends=2, runs=0)
         may_have_run = attempts.Progress(sends=1, runs=1)
         refused = attempts.Ending.REFUSED
-        self.assertIs(attempts.end_unserved(not_run, True), refused)
+        self.assertIs(attempts.choose_ending(not_run, True), refused)
         for in_time in (True, False):
-            ending = attempts.end_unserved(may_have_run, in_time)
+            ending = attempts.choose_ending(may_have_run, in_time)
             self.assertIsNot(ending, refused)
 
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -285,7 +285,7 @@
                 wanted = sum(
                     counts.get(name, 0)
                     for at, counts in held.values()
-                    if now - at <= loads_module._LOAD_AGE
+                    if now - at <= loads_module._LOAD_TTL
                 )
                 self.assertEqual(balancer.count_load(name), wanted)
 
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -91,7 +91,7 @@
         """
         for number in range(100):
             self.backlog.note_first(_KIND, 0.1 if number % 3 == 0 else 0.9)
-        self.assertLess(self.backlog.expect_first(_KIND), 0.3)
+        self.assertLess(self.backlog.estimate_first_event(_KIND), 0.3)
 
     def test_requests_that_cannot_start_in_time_are_rejected_at_once(self):
         """Guards against holding callers until they give up, unserved.
@@ -139,7 +139,7 @@
     def fill_up(self, now=0.0):
         count = 0
         while isinstance(
-            self.placer.ask(make_ticket(f"f{count}", now), now),
+            self.placer.try_place(make_ticket(f"f{count}", now), now),
             placing.Placement,
         ):
             count += 1
@@ -158,9 +158,9 @@
         late = make_ticket("late", 0.0)
         for _ in range(11):
             self.balancer.begin(ids.InstanceId("i0"))
-        found = self.placer.ask(late, 1.0)
+        found = self.placer.try_place(late, 1.0)
         self.assertTrue(found.is_full)
-        found = self.placer.ask(make_ticket("new", 1.0), 1.0)
+        found = self.placer.try_place(make_ticket("new", 1.0), 1.0)
         self.assertIsInstance(found, placing.Placement)
 
     def test_the_slot_of_an_ended_request_goes_to_a_waiting_one(self):
@@ -198,7 +198,7 @@
 
     def test_a_request_does_not_wait_where_no_replica_exists(self):
         self.fleet.replace([], 2, 1.0)
-        found = self.placer.ask(make_ticket("a", 1.0), 1.0)
+        found = self.placer.try_place(make_ticket("a", 1.0), 1.0)
         self.assertFalse(found.is_full)
 
 
