--- a/currantwall/coordination/requests/admission.py
+++ b/currantwall/coordination/requests/admission.py
@@ -245,7 +245,7 @@
             self._tokens[request.organisation] = (tokens, now)
             return routing.Refusal(
                 routing.RefusalReason.RATE,
-                f"{request.organisation} exceeds {rate:g} requests a second",
+                f"{request.organisation} is over {rate:g} requests a second",
                 (1.0 - tokens) / max(local_rate, 1e-3),
             )
         self._tokens[request.organisation] = (tokens - 1.0, now)
--- a/currantwall/coordination/requests/homes.py
+++ b/currantwall/coordination/requests/homes.py
@@ -300,14 +300,14 @@
             # Two nodes that disagree on the home must not forward it to
             # each other forever.
             return self._reply_unknown(
-                offer, "the home of the key is another process"
+                offer, "its home is not here"
             )
         home = self._handover.follow(home)
         member = self._nodes.get(home.node)
         if member is None or member.incarnation > home.incarnation:
-            return self._reply_unknown(offer, "the home of the key is gone")
+            return self._reply_unknown(offer, "its home is gone")
         if not member.is_present:
-            return self._reply_unknown(offer, "the home of the key is gone")
+            return self._reply_unknown(offer, "its home is gone")
         decision = Decision(DecisionKind.FORWARD, home)
         return actions.Reply(offer.ticket, decision)
 
@@ -322,7 +322,7 @@
         state = adopted.get(keys.hash_key(offer.key, offer.scope))
         if state is None:
             reason = (
-                "the home of the key has stopped; use a key from /v1/entries"
+                "its home has stopped; take a key from /v1/entries"
             )
             return Decision(DecisionKind.NOT_RUN, reason=reason)
         if state.fingerprint != offer.fingerprint:
@@ -525,7 +525,7 @@
         record.state = _State.DISPATCHED
         return Decision(DecisionKind.DISPATCH)
     if record.state is _State.DISPATCHED:
-        reason = "the call is in progress"
+        reason = "the call is under way"
         return Decision(
             DecisionKind.IN_PROGRESS,
             reason=reason,
--- a/currantwall/coordination/requests/routing.py
+++ b/currantwall/coordination/requests/routing.py
@@ -273,13 +273,13 @@
         if not candidates:
             return Refusal(
                 RefusalReason.NO_REPLICA,
-                f"no upstream of {name} is usable now",
+                f"nothing serves {name} now",
             )
         self._update_median(request.target, candidates)
         free = self._select_free(candidates)
         if not free:
             return Refusal(
-                RefusalReason.OVERLOADED, f"all upstreams of {name} are full"
+                RefusalReason.OVERLOADED, f"{name} is full"
             )
         chosen = self._choose_cached(request, free)
         chosen = chosen or self._choose_less_loaded(request.target, free)
