--- a/currantwall/coordination/requests/homes.py
+++ b/currantwall/coordination/requests/homes.py
@@ -299,9 +299,7 @@
         if offer.forwarded:
             # Two nodes that disagree on the home must not forward it to
             # each other forever.
-            return self._reply_unknown(
-                offer, "its home is not here"
-            )
+            return self._reply_unknown(offer, "its home is not here")
         home = self._handover.follow(home)
         member = self._nodes.get(home.node)
         if member is None or member.incarnation > home.incarnation:
@@ -321,9 +319,7 @@
         """
         state = adopted.get(keys.hash_key(offer.key, offer.scope))
         if state is None:
-            reason = (
-                "its home has stopped; take a key from /v1/entries"
-            )
+            reason = "its home has stopped; take a key from /v1/entries"
             return Decision(DecisionKind.NOT_RUN, reason=reason)
         if state.fingerprint != offer.fingerprint:
             reason = "the key was used for another request"
--- a/currantwall/coordination/requests/routing.py
+++ b/currantwall/coordination/requests/routing.py
@@ -278,9 +278,7 @@
         self._update_median(request.target, candidates)
         free = self._select_free(candidates)
         if not free:
-            return Refusal(
-                RefusalReason.OVERLOADED, f"{name} is full"
-            )
+            return Refusal(RefusalReason.OVERLOADED, f"{name} is full")
         chosen = self._choose_cached(request, free)
         chosen = chosen or self._choose_less_loaded(request.target, free)
         return Route(
