--- a/currantwall/coordination/peers/__init__.py
+++ b/currantwall/coordination/peers/__init__.py
@@ -1,7 +1,8 @@
-"""Which nodes there are, who lives, and how news goes round.
+"""Membership of the fleet, failure detection and dissemination.
 
-In come heartbeats, digests and lists; out come the nodes to tell, callers'
-addresses and who reads the store for the others. A gateway uses `presence`
-and `digests`, an entry of the product's own interface `membership` and
-`broadcast`. Start with `presence`.
+The modules take heartbeats, digests and the platform's lists, and decide
+which nodes a message goes to, which addresses callers get and which nodes
+read the store for the others. A gateway uses `presence` and `digests`; an
+entry of the product's own interface uses `membership` and `broadcast`.
+Start with `presence`.
 """
--- a/currantwall/coordination/peers/entries.py
+++ b/currantwall/coordination/peers/entries.py
@@ -1,9 +1,9 @@
-"""Which entry addresses a caller should use.
+"""Chooses the entry addresses that a caller should use.
 
-No balancer stands before the system. A caller asks any node, keeps the
-answer for its ttl and connects there itself. Nodes of the caller's data
-centre come first; a node that leaves is left out at once and goes on
-taking requests for at least the ttl it has handed out.
+There is no load balancer in front of the system. A caller asks any node,
+caches the answer for its ttl and connects to the addresses itself. Nodes
+of the caller's data centre come first. A node that leaves is omitted at
+once, and goes on taking requests for at least the ttl it has handed out.
 """
 
 import msgspec
@@ -18,7 +18,7 @@
 
 
 class Entry(msgspec.Struct, frozen=True):
-    """One address to use."""
+    """The address of one node."""
 
     node: ids.NodeId
     address: str
@@ -31,7 +31,7 @@
     Attributes:
         ttl: Seconds for which the answer may be kept.
         key_prefix: Start of idempotency keys whose home is the node
-            that answers; complete it with something unique.
+            that answers; the caller appends a unique suffix.
     """
 
     entries: tuple[Entry, ...]
@@ -40,7 +40,7 @@
 
 
 class Entries:
-    """Chooses addresses; spreads callers by turns."""
+    """Chooses addresses, in a different order for each answer."""
 
     def __init__(
         self,
@@ -49,18 +49,23 @@
     ) -> None:
         self._nodes = nodes
         self._settings = settings
-        self._turn = 0
+        self._answers = 0
 
     def choose(
         self, datacentre: ids.DatacentreName, key_prefix: str
     ) -> EntryList:
-        """Return a few addresses, those of a data centre first."""
-        self._turn += 1
-        salt = f"entries:{self._nodes.me.id}:{self._turn}"
+        """Return a few addresses, those of one data centre first.
+
+        Args:
+            datacentre: The caller's data centre.
+            key_prefix: Passed on to the caller in the answer.
+        """
+        self._answers += 1
+        key = f"entries:{self._nodes.me.id}:{self._answers}"
         usable = {member.id: member for member in self._nodes.usable()}
-        near = [m.id for m in usable.values() if m.datacentre == datacentre]
-        far = [name for name in usable if name not in near]
-        ranked = rendezvous.rank(salt, near) + rendezvous.rank(salt, far)
+        local = [m.id for m in usable.values() if m.datacentre == datacentre]
+        remote = [name for name in usable if name not in local]
+        ranked = rendezvous.rank(key, local) + rendezvous.rank(key, remote)
         chosen = ranked[: self._settings.entries_count]
         return EntryList(
             tuple(_describe(usable[name]) for name in chosen),
--- a/currantwall/coordination/peers/links.py
+++ b/currantwall/coordination/peers/links.py
@@ -1,10 +1,10 @@
-"""What the envelope of a peer message tells.
+"""Checks the envelopes of peer messages and estimates their delay.
 
-An envelope of an incarnation older than the newest known one is dropped:
-it comes from a process that is gone. The sender's clock in it shows how
-long the message lay on the way: the smallest difference between the two
-clocks seen on a link stands for the shortest way, and what a message
-took beyond that is its delay.
+An envelope from an incarnation older than the newest known one is dropped:
+its sender's process has ended. The sender's clock reading in the envelope
+serves to estimate the delay: the smallest clock difference seen on a link
+stands for the shortest transit time, and whatever a message took beyond
+that is its delay.
 """
 
 from currantwall.coordination import actions
@@ -16,32 +16,37 @@
 
 __all__ = ["Links"]
 
-# The smallest difference is taken over the last one to two windows, so
-# that drifting clocks do not add up to a false delay.
-_WINDOW = 60.0
+# The minimum is taken over the last one to two windows, so that clock drift
+# does not accumulate into a false delay.
+_OFFSET_WINDOW_SECONDS = 60.0
 
 
 class _Link:
-    """Clock difference to one peer process."""
+    """Clock offset to one process of a peer."""
 
     def __init__(self, incarnation: ids.Incarnation, now: float) -> None:
         self.incarnation = incarnation
-        self._since = now
-        self._last: float | None = None
-        self._current: float | None = None
+        self._window_start = now
+        self._previous_min: float | None = None
+        self._current_min: float | None = None
 
     def measure(self, sent: float, now: float) -> float:
-        """Return the delay of a message beyond the shortest way."""
-        if now - self._since > _WINDOW:
-            self._last, self._current = self._current, None
-            self._since = now
+        """Return the delay of a message beyond the shortest transit time.
+
+        Args:
+            sent: Sender's monotonic clock at the send, in seconds.
+            now: This process's monotonic clock, in seconds.
+        """
+        if now - self._window_start > _OFFSET_WINDOW_SECONDS:
+            self._previous_min, self._current_min = self._current_min, None
+            self._window_start = now
         offset = now - sent
-        if self._current is None or offset < self._current:
-            self._current = offset
-        least = self._current
-        if self._last is not None:
-            least = min(least, self._last)
-        return offset - least
+        if self._current_min is None or offset < self._current_min:
+            self._current_min = offset
+        min_offset = self._current_min
+        if self._previous_min is not None:
+            min_offset = min(min_offset, self._previous_min)
+        return offset - min_offset
 
 
 class Links:
@@ -54,7 +59,7 @@
     def open(
         self, envelope: wire.Envelope, now: float
     ) -> tuple[messages.Received | None, list[part.Action]]:
-        """Return the message inside, None if it must be dropped."""
+        """Return the message inside; None if it must be dropped."""
         if self._is_stale(envelope):
             count = actions.Count(actions.Counter.MESSAGES_STALE)
             return None, [count]
@@ -69,16 +74,16 @@
         """Return whether the sender or the addressee is a past process.
 
         Failure: a message queued for a process that died reaches its
-        successor at the same address, or one sent by a process before it
-        died arrives after its successor's first.
+        successor at the same address, or a message that a process sent
+        before it died arrives after its successor's first one.
 
-        A ping meant for the predecessor is taken: it is how a process
-        that starts while the platform is down learns of the others, and
-        the answer tells them of the new incarnation.
+        A ping addressed to the predecessor is accepted: a process that
+        starts while the platform is down learns of the other nodes by it,
+        and the answer tells them of the new incarnation.
         """
         me = self._nodes.me
         for_me = envelope.to_incarnation in (0, me.incarnation)
         if not for_me and not isinstance(envelope.body, wire.Ping):
             return True
-        held = self._nodes.get(envelope.sender)
-        return held is not None and held.incarnation > envelope.incarnation
+        member = self._nodes.get(envelope.sender)
+        return member is not None and member.incarnation > envelope.incarnation
--- a/currantwall/coordination/peers/staleness.py
+++ b/currantwall/coordination/peers/staleness.py
@@ -1,59 +1,64 @@
-"""Whether reads that may be old lag too far behind the store.
+"""Detects stale reads that lag too far behind the store.
 
-The load it answers: reads that may be old are cheap, and mostly half a
-second old at most. At times they are seconds old, and an instance that
-said that it leaves would go on getting requests for as long. The store's
-revision rises with every write; nodes that hear of a newer one than a
-read shows, such as a lease's renewal, know that the read is old.
+Stale reads are cheap and mostly at most half a second old. At times they
+are seconds old, and an instance that has announced that it leaves would
+go on getting requests for as long. The store's revision rises with every
+write: a node that has learnt of a newer revision than a read shows, for
+example from the renewal of a lease, knows that the read is stale.
 """
 
 import collections
 
 __all__ = ["Staleness"]
 
-# Seconds for which a newer revision must be known before a read without
-# it counts as too old.
-_TOLERANCE = 0.5
-# Seconds in which no read may be old after one was too old.
-_STRICT_READS = 4.0
+# A read counts as too old when it lacks a revision that has been known for
+# this long.
+_TOLERANCE_SECONDS = 0.5
+# How long stale reads are not allowed after one that was too old.
+_STRICT_READS_SECONDS = 4.0
 
 
 class Staleness:
-    """The store's revisions as they became known, and old reads."""
+    """Tracks the store's revisions and detects reads that lag behind."""
 
     def __init__(self) -> None:
-        # When each revision became known, both rising.
-        self._known: collections.deque[tuple[float, int]] = collections.deque()
+        # Pairs of the time when a revision became known and the revision;
+        # both rise.
+        self._revisions: collections.deque[tuple[float, int]] = (
+            collections.deque()
+        )
         self._strict_until = 0.0
 
     def note_revision(self, revision: int, now: float) -> None:
-        """Take note that the store has come to a revision."""
-        if not self._known or revision > self._known[-1][1]:
-            self._known.append((now, revision))
-        self._forget(now)
+        """Record that the store has reached a revision."""
+        if not self._revisions or revision > self._revisions[-1][1]:
+            self._revisions.append((now, revision))
+        self._drop_superseded(now)
 
     def note_read(self, revision: int, now: float) -> bool:
-        """Take note of a read that may be old; return whether it is.
+        """Record a read that may be stale; return whether it is too old.
 
         Args:
             revision: Revision of the store that the read shows.
-            now: Monotonic time at which it was asked for.
+            now: Monotonic time in seconds at which the read was requested.
         """
-        self._forget(now)
-        if not self._known:
+        self._drop_superseded(now)
+        if not self._revisions:
             return False
-        at, newest = self._known[0]
-        if now - at < _TOLERANCE or revision >= newest:
+        at, newest = self._revisions[0]
+        if now - at < _TOLERANCE_SECONDS or revision >= newest:
             return False
-        self._strict_until = now + _STRICT_READS
+        self._strict_until = now + _STRICT_READS_SECONDS
         return True
 
     def is_strict(self, now: float) -> bool:
-        """Return whether reads of late were too old."""
+        """Return whether stale reads are disallowed after one too old."""
         return now < self._strict_until
 
-    def _forget(self, now: float) -> None:
-        """Keep the newest revision that has been known for long enough."""
-        known = self._known
-        while len(known) > 1 and now - known[1][0] >= _TOLERANCE:
-            known.popleft()
+    def _drop_superseded(self, now: float) -> None:
+        """Drop all revisions before the newest one past the tolerance."""
+        revisions = self._revisions
+        while (
+            len(revisions) > 1 and now - revisions[1][0] >= _TOLERANCE_SECONDS
+        ):
+            revisions.popleft()
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -281,7 +281,7 @@
     Mutant(
         "a refusal taken for an outage by who was refused",
         f"{_COORDINATION}/peers/outages.py",
-        "            if until - began > _SHORTEST_OUTAGE:\n",
+        "            if until - began > _MIN_OUTAGE_SECONDS:\n",
         "            if until - began > 0.0:\n",
         f"{_FEEDS}.FleetFeedTest"
         ".test_who_leaves_is_dropped_after_this_node_was_turned_away",
@@ -297,7 +297,7 @@
     Mutant(
         "a refusal taken for an outage by who was told",
         f"{_COORDINATION}/peers/outages.py",
-        "            if until - began > _SHORTEST_OUTAGE:\n",
+        "            if until - began > _MIN_OUTAGE_SECONDS:\n",
         "            if until - began > 0.0:\n",
         f"{_FEEDS}.FollowerTest"
         ".test_who_leaves_is_dropped_after_a_reader_was_cut_off",
