--- a/currantwall/coordination/peers/membership.py
+++ b/currantwall/coordination/peers/membership.py
@@ -1,15 +1,16 @@
-"""Which entry nodes there are, and which of them live.
+"""Membership and failure detection of the entry nodes.
 
 The platform's list names the nodes but lags. Inside a data centre each
-node pings another one every interval, in rounds that reach everybody; a
-ping without an answer is repeated through other nodes before anyone is
-suspected, and a suspect that lives refutes by raising its serial. News
-of members rides in the pings. Between data centres the relays exchange
-digests; a difference is repaired by sending the table.
-
-The scheme is SWIM (Das, Gupta, Motivala, 2002) with two guards of ours:
-a node that was itself paused, or that hears from nobody, condemns no
-one.
+node pings another node every interval, in rounds that cover all of them.
+If a ping is not answered, other nodes are asked to ping the target before
+it is suspected. A suspect that is alive refutes the suspicion by raising
+its serial. Changes of members spread as gossip in the pings. Between data
+centres the relays exchange digests (anti-entropy); where digests differ,
+members are sent.
+
+The protocol is SWIM (Das, Gupta, Motivala, 2002) with two additions: a
+node that was itself paused, or that hears from no other node, declares
+nobody dead.
 """
 
 import math
@@ -31,25 +32,32 @@
 
 __all__ = ["Membership"]
 
-# A tick this many probe timeouts late means that this process stood
-# still: what it missed meanwhile proves nothing about others.
-_PAUSE_TIMEOUTS = 3
-# News is repeated this many times the logarithm of the cluster's size.
-_NEWS_REPEATS = 3
-# Every so many rounds a node that is listed but dead is pinged again.
-_DEAD_ROUNDS = 5
-# Between two tables of one node.
-_TABLE_SECONDS = 1.0
-# A relay's word that a data centre is lost counts for so long; it is
-# repeated while that lasts.
-_REACH_SECONDS = 10.0
-_REACH_REPEAT = 3
-# Exchanges without an answer after which a data centre is unreachable.
-_LOST_EXCHANGES = 5
+# A tick that is late by this many probe timeouts means that this process
+# was paused; answers it missed meanwhile prove nothing about other nodes.
+_PAUSE_PROBE_TIMEOUTS = 3
+# A change is sent this many times the binary logarithm of the number of
+# members.
+_GOSSIP_REPEAT_FACTOR = 3
+# Dead members that are still listed are pinged once in this many rounds.
+_DEAD_PROBE_ROUNDS = 5
+# Minimum time between two tables that a node sends, to any peer.
+_TABLE_INTERVAL_SECONDS = 1.0
+# Lifetime of a relay's report that a data centre is unreachable, and the
+# number of unanswered exchanges after which the report is repeated.
+_REACH_EXPIRY_SECONDS = 10.0
+_REACH_REPEAT_EXCHANGES = 3
+# Exchanges in a row without an answer after which a data centre counts as
+# unreachable.
+_UNREACHABLE_EXCHANGES = 5
 
 
 class _Probe(msgspec.Struct):
-    """A ping whose answer is awaited."""
+    """A ping whose answer is awaited.
+
+    Attributes:
+        sent: Monotonic time in seconds.
+        indirect: Whether other nodes have been asked to ping the target.
+    """
 
     target: ids.NodeId
     sent: float
@@ -57,7 +65,7 @@
 
 
 class Membership(part.Part):
-    """Keeps the members view."""
+    """Maintains the view of the members."""
 
     def __init__(
         self,
@@ -69,19 +77,28 @@
         self._known = known
         self._settings = settings
         self._serial = 0
+        # Members that are still to be pinged in this round.
         self._round: list[ids.NodeId] = []
         self._rounds = 0
+        # Probes in flight, by the serial of the ping.
         self._probes: dict[int, _Probe] = {}
-        self._relayed: dict[int, tuple[ids.NodeId, int]] = {}
+        # Pings sent for other nodes: who asked, and the serial there.
+        self._requested_pings: dict[int, tuple[ids.NodeId, int]] = {}
+        # When each suspect is declared dead unless it refutes.
         self._suspected: dict[ids.NodeId, float] = {}
-        self._own_suspects: set[ids.NodeId] = set()
+        # Suspects that this node has probed itself without an answer.
+        self._suspected_by_probe: set[ids.NodeId] = set()
         self._dead_since: dict[ids.NodeId, float] = {}
-        self._heard: dict[ids.NodeId, float] = {}
-        self._news: dict[ids.NodeId, int] = {}
+        self._last_heard: dict[ids.NodeId, float] = {}
+        # How often each changed member is still to be sent.
+        self._gossip_repeats: dict[ids.NodeId, int] = {}
+        # Exchanges in a row that a data centre has not answered.
         self._unanswered: dict[ids.DatacentreName, int] = {}
-        self._lost_places: dict[ids.DatacentreName, float] = {}
+        # When a relay last reported a data centre unreachable.
+        self._unreachable_since: dict[ids.DatacentreName, float] = {}
         self._next_table = 0.0
         self._exchanges = 0
+        # Cache of `list_relays` for one revision of the view.
         self._relays: dict[ids.DatacentreName, list[ids.NodeId]] = {}
         self._relays_revision = -1
         self._next_probe = 0.0
@@ -89,7 +106,7 @@
         self._last_tick: float | None = None
 
     def due(self) -> float:
-        """Return when the next tick is wanted."""
+        """Return the monotonic time of the next tick that is wanted."""
         times = [self._next_probe, self._next_exchange]
         timeout = self._settings.probe_timeout
         for probe in self._probes.values():
@@ -106,39 +123,39 @@
 
     @part.handles(part.Tick)
     def _on_tick(self, _: part.Tick, now: float) -> list[part.Action]:
-        found: list[part.Action] = []
+        result: list[part.Action] = []
         if self._was_paused(now):
-            self._forgive(now)
-        found += self._check_probes(now)
-        found += self._check_suspects(now)
+            self._reset_after_pause(now)
+        result += self._check_probes(now)
+        result += self._check_suspects(now)
         if now >= self._next_probe:
             self._next_probe = now + self._settings.probe_interval
-            found += self._probe_next(now)
-            found += self._expire_reach(now)
+            result += self._probe_next(now)
+            result += self._expire_reach(now)
             self._forget_dead(now)
         if now >= self._next_exchange:
             self._next_exchange = now + self._settings.exchange_interval
-            found += self._exchange()
-        return found
+            result += self._start_exchanges()
+        return result
 
     def _was_paused(self, now: float) -> bool:
         last, self._last_tick = self._last_tick, now
         if last is None:
             return False
         usual = max(self._settings.probe_interval, 0.1)
-        slack = self._settings.probe_timeout * _PAUSE_TIMEOUTS
+        slack = self._settings.probe_timeout * _PAUSE_PROBE_TIMEOUTS
         return now - last > usual + slack
 
-    def _forgive(self, now: float) -> None:
-        """Drop what was awaited while this process stood still.
+    def _reset_after_pause(self, now: float) -> None:
+        """Drop the probes in flight and restart all suspicions.
 
-        Failure: a paused prober wakes, finds every answer overdue and
-        condemns live members. Answers that came meanwhile still lie in
-        its queue, so its own silence proves nothing.
+        Failure: a process resumes after a pause, finds every answer
+        overdue and declares live members dead. Answers that arrived during
+        the pause are still in its queue, so the probes prove nothing.
         """
         self._probes.clear()
-        again = now + self._settings.suspicion
-        self._suspected = dict.fromkeys(self._suspected, again)
+        deadline = now + self._settings.suspicion
+        self._suspected = dict.fromkeys(self._suspected, deadline)
 
     # -- Probing inside the data centre
 
@@ -152,7 +169,7 @@
     def _on_doubt(
         self, message: messages.Doubted, now: float
     ) -> list[part.Action]:
-        """Have a node probed out of turn, by its own data centre."""
+        """Have a node probed at once, from within its data centre."""
         member = self._view.get(message.node)
         if member is None or not member.is_present:
             return []
@@ -191,19 +208,19 @@
         return None
 
     def _start_round(self) -> list[ids.NodeId]:
-        """Return the order in which this round pings the members."""
+        """Return the members to ping in a new round, in reverse order."""
         me = self._view.me
         local = self._view.present(me.datacentre)
         names = [member.id for member in local if member.id != me.id]
-        if self._rounds % _DEAD_ROUNDS == 0:
-            names += self._list_returning()
+        if self._rounds % _DEAD_PROBE_ROUNDS == 0:
+            names += self._list_dead_listed()
         return rendezvous.rank(f"round:{me.id}:{self._rounds}", names)
 
-    def _list_returning(self) -> list[ids.NodeId]:
-        """Return dead members that the platform still lists.
+    def _list_dead_listed(self) -> list[ids.NodeId]:
+        """Return the dead members that the platform still lists.
 
-        After a partition nobody would ever speak to the members that
-        each side declared dead; one ping each lets them refute it.
+        After a partition nobody would contact the members that each side
+        declared dead; one ping to each lets it refute that.
         """
         listed = self._known.instances
         return [
@@ -216,25 +233,25 @@
         self, serial: int, on_behalf_of: ids.NodeId | None = None
     ) -> wire.Ping:
         return wire.Ping(
-            serial, self._take_news(), on_behalf_of or ids.NodeId("")
+            serial, self._take_gossip(), on_behalf_of or ids.NodeId("")
         )
 
     def _check_probes(self, now: float) -> list[part.Action]:
-        found: list[part.Action] = []
+        result: list[part.Action] = []
         timeout = self._settings.probe_timeout
         for serial, probe in list(self._probes.items()):
             if now >= probe.sent + 3 * timeout:
                 del self._probes[serial]
-                found += self._suspect(probe.target, now)
+                result += self._suspect(probe.target, now)
             elif now >= probe.sent + timeout and not probe.indirect:
                 probe.indirect = True
-                found += self._probe_indirectly(serial, probe.target)
-        return found
+                result += self._probe_indirectly(serial, probe.target)
+        return result
 
     def _probe_indirectly(
         self, serial: int, target: ids.NodeId
     ) -> list[part.Action]:
-        """Ask others to ping, so that one bad link condemns nobody."""
+        """Ask other nodes to ping, as only one link may have failed."""
         me = self._view.me
         names = [
             member.id
@@ -253,63 +270,66 @@
         if member.incarnation == 0 or target in self._suspected:
             return []
         self._suspected[target] = now + self._settings.suspicion
-        self._own_suspects.add(target)
-        found = self._change(member, members.MemberState.SUSPECT)
-        # The suspect itself must hear of it at once, to refute it.
+        self._suspected_by_probe.add(target)
+        result = self._change(member, members.MemberState.SUSPECT)
+        # Ping the suspect with the suspicion, so that it can refute it.
         self._serial += 1
         ping = self._make_ping(self._serial)
-        return [*found, actions.Send(target, ping)]
+        return [*result, actions.Send(target, ping)]
 
     def _check_suspects(self, now: float) -> list[part.Action]:
-        found: list[part.Action] = []
+        result: list[part.Action] = []
         for target, deadline in list(self._suspected.items()):
             if now < deadline:
                 continue
             member = self._view.get(target)
             if member is None or self._is_cleared(member):
                 del self._suspected[target]
-                self._own_suspects.discard(target)
-            elif self._hears_others(target, now):
+                self._suspected_by_probe.discard(target)
+            elif self._has_contact(target, now):
                 del self._suspected[target]
                 self._dead_since[target] = now
-                found += self._change(member, members.MemberState.DEAD)
-                found += self._tell_verdict(target)
+                result += self._change(member, members.MemberState.DEAD)
+                result += self._publish_verdict(target)
             else:
                 self._suspected[target] = now + self._settings.suspicion
-        return found
+        return result
 
-    def _tell_verdict(self, target: ids.NodeId) -> list[part.Action]:
-        """Tell everybody at once, if this node was the first to suspect.
+    def _publish_verdict(self, target: ids.NodeId) -> list[part.Action]:
+        """Publish that a member is dead, if this node's probe found it.
 
-        The others that held it suspect come to the same verdict by
-        themselves; all of them telling everybody would be a flood.
+        Other nodes learnt of the suspicion as gossip and reach the same
+        verdict by themselves. If all of them published it, it would flood
+        the fleet.
         """
         member = self._view.get(target)
-        if target not in self._own_suspects or member is None:
+        if target not in self._suspected_by_probe or member is None:
             return []
-        self._own_suspects.discard(target)
+        self._suspected_by_probe.discard(target)
         return [actions.Publish(wire.MemberNews(member), urgent=True)]
 
     @part.handles(wire.MemberNews)
     def _on_news(
         self, message: messages.Delivered, now: float
     ) -> list[part.Action]:
-        return self._learn((message.payload.member,), now)
+        return self._merge_members((message.payload.member,), now)
 
     @staticmethod
     def _is_cleared(member: members.Member) -> bool:
         return member.state is not members.MemberState.SUSPECT
 
-    def _hears_others(self, target: ids.NodeId, now: float) -> bool:
-        """Return whether anybody else was heard during the suspicion.
+    def _has_contact(self, target: ids.NodeId, now: float) -> bool:
+        """Return whether another member was heard during the suspicion.
 
-        Failure: a node cut off from everybody condemns all others, and
-        its verdicts spread when the link heals. Whoever hears nobody
-        keeps its suspicion to itself.
+        Failure: a node that is cut off from the network declares all
+        others dead, and its verdicts spread when the link recovers. A
+        node that hears nobody therefore reaches no verdict.
         """
         since = now - self._settings.suspicion
         return any(
-            at >= since for node, at in self._heard.items() if node != target
+            at >= since
+            for node, at in self._last_heard.items()
+            if node != target
         )
 
     def _forget_dead(self, now: float) -> None:
@@ -328,23 +348,24 @@
         self, message: messages.Received, now: float
     ) -> list[part.Action]:
         body = message.body
-        self._heard[message.sender] = now
-        found = self._learn(body.news, now)
+        self._last_heard[message.sender] = now
+        result = self._merge_members(body.news, now)
         target = body.on_behalf_of or self._view.me.id
-        news = self._take_news()
+        news = self._take_gossip()
         reply = wire.Ack(body.serial, target, news)
-        return [*found, actions.Send(message.sender, reply)]
+        return [*result, actions.Send(message.sender, reply)]
 
     @part.handles(wire.PingRequest)
     def _on_ping_request(
         self, message: messages.Received, now: float
     ) -> list[part.Action]:
         body = message.body
-        self._heard[message.sender] = now
+        self._last_heard[message.sender] = now
         self._serial += 1
-        self._relayed[self._serial] = (message.sender, body.serial)
-        while len(self._relayed) > 64:
-            self._relayed.pop(next(iter(self._relayed)))
+        self._requested_pings[self._serial] = (message.sender, body.serial)
+        # Requests whose ping is never answered are dropped, oldest first.
+        while len(self._requested_pings) > 64:
+            self._requested_pings.pop(next(iter(self._requested_pings)))
         return [actions.Send(body.target, self._make_ping(self._serial))]
 
     @part.handles(wire.Ack)
@@ -352,40 +373,40 @@
         self, message: messages.Received, now: float
     ) -> list[part.Action]:
         body = message.body
-        self._heard[message.sender] = now
-        found = self._learn(body.news, now)
-        asked = self._relayed.pop(body.serial, None)
+        self._last_heard[message.sender] = now
+        result = self._merge_members(body.news, now)
+        asked = self._requested_pings.pop(body.serial, None)
         if asked is not None:
             asker, serial = asked
             answer = wire.Ack(serial, message.sender)
-            found.append(actions.Send(asker, answer))
+            result.append(actions.Send(asker, answer))
         else:
             self._probes.pop(body.serial, None)
-        return found
+        return result
 
     @part.handles(wire.Exchange)
     def _on_exchange(
         self, message: messages.Received, now: float
     ) -> list[part.Action]:
         body = message.body
-        self._heard[message.sender] = now
-        found = self._learn(body.news, now)
+        self._last_heard[message.sender] = now
+        result = self._merge_members(body.news, now)
         sender = self._view.get(message.sender)
         if sender is not None:
-            found += self._note_reached(sender.datacentre)
-        found += self._repair(message.sender, body, now)
+            result += self._record_contact(sender.datacentre)
+        result += self._send_differences(message.sender, body, now)
         if not body.answer:
             answer = self._make_exchange(True)
-            found.append(actions.Send(message.sender, answer))
-        return found
+            result.append(actions.Send(message.sender, answer))
+        return result
 
-    def _repair(
+    def _send_differences(
         self, peer: ids.NodeId, body: wire.Exchange, now: float
     ) -> list[part.Action]:
-        """Send what differs, a bounded part at a time.
+        """Send the members of buckets that differ, at a limited rate.
 
-        While news spreads, views differ for a moment; answering every
-        difference with whole tables made a flood of every loss.
+        Views differ for a moment while a change spreads. Answering every
+        difference with a table turned each loss of a node into a flood.
         """
         mine = self._view.digests()
         different = {
@@ -395,7 +416,7 @@
         }
         if not different or now < self._next_table:
             return []
-        self._next_table = now + _TABLE_SECONDS
+        self._next_table = now + _TABLE_INTERVAL_SECONDS
         table = wire.Table(tuple(self._view.select(different)))
         return [actions.Send(peer, table)]
 
@@ -403,17 +424,17 @@
     def _on_table(
         self, message: messages.Received, now: float
     ) -> list[part.Action]:
-        self._heard[message.sender] = now
-        return self._learn(message.body.members, now)
+        self._last_heard[message.sender] = now
+        return self._merge_members(message.body.members, now)
 
     @part.handles(messages.ObjectChanged)
     def _on_object(
         self, message: messages.ObjectChanged, now: float
     ) -> list[part.Action]:
-        """Learn of nodes from the platform's list."""
+        """Add and remove nodes as the platform's list changes."""
         listed = message.value
         if listed is None:
-            self._drop_unlisted(message.stored.key)
+            self._drop_unseen(message.stored.key)
         if not isinstance(listed, instances.Instance):
             return []
         if listed.kind is not instances.InstanceKind.ENTRY:
@@ -421,16 +442,16 @@
         node = ids.NodeId(listed.id)
         if self._view.get(node) is not None:
             return []
-        seeded = members.Member(
+        member = members.Member(
             id=node,
             datacentre=listed.datacentre,
             address=listed.address,
             peer_address=listed.peer_address,
         )
-        return self._learn((seeded,), now)
+        return self._merge_members((member,), now)
 
-    def _drop_unlisted(self, key: objects.ObjectKey) -> None:
-        """Forget a node that is off the list and was never heard of."""
+    def _drop_unseen(self, key: objects.ObjectKey) -> None:
+        """Drop a node that is no longer listed and was never heard."""
         member = self._view.get(ids.NodeId(key.name))
         if key.kind != objects.Kind.INSTANCES.value or member is None:
             return
@@ -439,46 +460,46 @@
 
     # -- Between data centres
 
-    def _exchange(self) -> list[part.Action]:
+    def _start_exchanges(self) -> list[part.Action]:
         me = self._view.me
-        found: list[part.Action] = []
-        # Each node its own order, else all would ask the same one.
+        result: list[part.Action] = []
+        # The order differs for each node, or all would ask the same one.
         key = f"sync:{me.id}:{self._exchanges}"
         self._exchanges += 1
         local = self._view.rank(key, me.datacentre)
         others = [node for node in local if node != me.id]
         if others:
             body = self._make_exchange(False)
-            found.append(actions.Send(others[0], body))
+            result.append(actions.Send(others[0], body))
         if not self.is_relay():
-            return found
+            return result
         for datacentre in self._view.datacentres():
             if datacentre != me.datacentre:
-                found += self._exchange_with(datacentre)
-        return found
+                result += self._exchange_with(datacentre)
+        return result
 
     def is_relay(self) -> bool:
-        """Return whether this node carries news between data centres."""
+        """Return whether this node exchanges with other data centres."""
         me = self._view.me
         return me.id in self.list_relays(me.datacentre)
 
     def list_relays(self, datacentre: ids.DatacentreName) -> list[ids.NodeId]:
-        """Return the relays of a data centre, by preference."""
+        """Return the relays of a data centre, the preferred ones first."""
         if self._relays_revision != self._view.revision:
             self._relays_revision = self._view.revision
             self._relays.clear()
-        found = self._relays.get(datacentre)
-        if found is None:
-            found = self._choose_relays(datacentre)
-            self._relays[datacentre] = found
-        return found
+        result = self._relays.get(datacentre)
+        if result is None:
+            result = self._choose_relays(datacentre)
+            self._relays[datacentre] = result
+        return result
 
     def _choose_relays(
         self, datacentre: ids.DatacentreName
     ) -> list[ids.NodeId]:
         present = self._view.present(datacentre)
-        able = [m for m in present if m.is_usable] or present
-        names = [member.id for member in able]
+        candidates = [m for m in present if m.is_usable] or present
+        names = [member.id for member in candidates]
         count = self._settings.relays
         return rendezvous.choose(f"relay:{datacentre}", names, count)
 
@@ -488,39 +509,41 @@
         relays = self.list_relays(datacentre)
         if not relays:
             return []
-        lost = self._unanswered.get(datacentre, 0) + 1
-        self._unanswered[datacentre] = lost
-        found: list[part.Action] = []
-        if lost > _LOST_EXCHANGES:
-            found += self._mark_reachable(datacentre, False)
-            if lost % _REACH_REPEAT == 0:
-                found += self._tell_reach(datacentre, False)
-            # Its relays as we know them may be gone: try the others too.
+        unanswered = self._unanswered.get(datacentre, 0) + 1
+        self._unanswered[datacentre] = unanswered
+        result: list[part.Action] = []
+        if unanswered > _UNREACHABLE_EXCHANGES:
+            result += self._mark_reachable(datacentre, False)
+            if unanswered % _REACH_REPEAT_EXCHANGES == 0:
+                result += self._publish_reach(datacentre, False)
+            # The known relays may be gone: try its other members too.
             present = self._view.present(datacentre)
             relays = sorted(member.id for member in present)
-        target = relays[lost % len(relays)]
+        target = relays[unanswered % len(relays)]
         body = self._make_exchange(False)
-        found.append(actions.Send(target, body))
-        return found
+        result.append(actions.Send(target, body))
+        return result
 
-    def _note_reached(
+    def _record_contact(
         self, datacentre: ids.DatacentreName
     ) -> list[part.Action]:
-        lost = self._unanswered.get(datacentre, 0)
+        unanswered = self._unanswered.get(datacentre, 0)
         self._unanswered[datacentre] = 0
-        found = self._mark_reachable(datacentre, True)
-        if lost > _LOST_EXCHANGES and self.is_relay():
-            found += self._tell_reach(datacentre, True)
-        return found
+        result = self._mark_reachable(datacentre, True)
+        if unanswered > _UNREACHABLE_EXCHANGES and self.is_relay():
+            result += self._publish_reach(datacentre, True)
+        return result
 
     def _mark_reachable(
         self, datacentre: ids.DatacentreName, reachable: bool
     ) -> list[part.Action]:
-        lost = self._view.unreachable
-        if (datacentre not in lost) == reachable:
+        before = self._view.unreachable
+        if (datacentre not in before) == reachable:
             return []
-        one = frozenset((datacentre,))
-        self._view.mark_unreachable(lost - one if reachable else lost | one)
+        changed = frozenset((datacentre,))
+        self._view.mark_unreachable(
+            before - changed if reachable else before | changed
+        )
         state = "reachable" if reachable else "unreachable"
         return [
             actions.Record(
@@ -529,60 +552,63 @@
             actions.Tell(messages.MemberChanged(self._view.me.id)),
         ]
 
-    def _tell_reach(
+    def _publish_reach(
         self, datacentre: ids.DatacentreName, reachable: bool
     ) -> list[part.Action]:
-        """Tell this data centre whether another one can be reached."""
-        word = wire.Reach(datacentre, reachable)
-        return [actions.Publish(word, urgent=True, local=True)]
+        """Publish in this data centre whether another one is reachable."""
+        reach = wire.Reach(datacentre, reachable)
+        return [actions.Publish(reach, urgent=True, local=True)]
 
     @part.handles(wire.Reach)
     def _on_reach(
         self, message: messages.Delivered, now: float
     ) -> list[part.Action]:
         if self.is_relay():
-            # A relay judges by itself: one bad link is not its view.
+            # A relay relies on its own exchanges: only the link of the
+            # other relay may have failed.
             return []
-        word = message.payload
-        if word.reachable:
-            self._lost_places.pop(word.datacentre, None)
+        reach = message.payload
+        if reach.reachable:
+            self._unreachable_since.pop(reach.datacentre, None)
         else:
-            self._lost_places[word.datacentre] = now
-        return self._mark_reachable(word.datacentre, word.reachable)
+            self._unreachable_since[reach.datacentre] = now
+        return self._mark_reachable(reach.datacentre, reach.reachable)
 
     def _expire_reach(self, now: float) -> list[part.Action]:
-        """Trust a data centre again when no relay says it is lost."""
-        found: list[part.Action] = []
-        for place, since in list(self._lost_places.items()):
-            if now - since > _REACH_SECONDS:
-                del self._lost_places[place]
-                found += self._mark_reachable(place, True)
-        return found
+        """Mark data centres reachable whose last report has expired."""
+        result: list[part.Action] = []
+        for datacentre, since in list(self._unreachable_since.items()):
+            if now - since > _REACH_EXPIRY_SECONDS:
+                del self._unreachable_since[datacentre]
+                result += self._mark_reachable(datacentre, True)
+        return result
 
     def _make_exchange(self, answer: bool) -> wire.Exchange:
         return wire.Exchange(
             self._view.digests(),
             self._known.digests(),
-            self._take_news(),
+            self._take_gossip(),
             answer,
         )
 
-    # -- News
+    # -- Changes of members
 
-    def _learn(
-        self, news: tuple[members.Member, ...], now: float
+    def _merge_members(
+        self, changed: tuple[members.Member, ...], now: float
     ) -> list[part.Action]:
-        found: list[part.Action] = []
-        for member in news:
+        """Apply the members that supersede those in the view."""
+        result: list[part.Action] = []
+        for member in changed:
             if member.id == self._view.me.id:
-                found += self._refute(member)
+                result += self._refute(member)
                 continue
-            held = self._view.get(member.id)
-            if held is None or member.supersedes(held):
-                found += self._store(member, held, now)
-        return found
+            previous = self._view.get(member.id)
+            if previous is None or member.supersedes(previous):
+                result += self._store(member, previous, now)
+        return result
 
     def _refute(self, verdict: members.Member) -> list[part.Action]:
+        """Raise this node's serial above that of a wrong verdict on it."""
         me = self._view.me
         if verdict.incarnation != me.incarnation:
             return []
@@ -592,33 +618,34 @@
             return []
         raised = msgspec.structs.replace(me, serial=verdict.serial + 1)
         self._view.put(raised)
-        self._tell_news(raised)
+        self._queue_gossip(raised)
         return [actions.Count(actions.Counter.MEMBER_VERDICTS, "refuted")]
 
     def _restate(self, state: members.MemberState) -> list[part.Action]:
+        """Announce another state of this node at once."""
         me = self._view.me
         raised = msgspec.structs.replace(me, serial=me.serial + 1, state=state)
         self._view.put(raised)
-        self._tell_news(raised)
-        found: list[part.Action] = [
+        self._queue_gossip(raised)
+        result: list[part.Action] = [
             actions.Tell(messages.MemberChanged(me.id))
         ]
-        # The word must be out at once: callers must not be sent here.
+        # Do not wait for the next pings: callers must not be sent here.
         for member in self._view.present(me.datacentre)[:8]:
             if member.id != me.id:
                 self._serial += 1
                 ping = self._make_ping(self._serial)
-                found.append(actions.Send(member.id, ping))
-        return found
+                result.append(actions.Send(member.id, ping))
+        return result
 
     def _store(
         self,
         member: members.Member,
-        held: members.Member | None,
+        previous: members.Member | None,
         now: float,
     ) -> list[part.Action]:
         self._view.put(member)
-        self._tell_news(member)
+        self._queue_gossip(member)
         if member.state is members.MemberState.SUSPECT:
             deadline = now + self._settings.suspicion
             self._suspected.setdefault(member.id, deadline)
@@ -628,24 +655,24 @@
         else:
             self._suspected.pop(member.id, None)
             self._dead_since.pop(member.id, None)
-        return self._report(member, held)
+        return self._report(member, previous)
 
     def _change(
         self, member: members.Member, state: members.MemberState
     ) -> list[part.Action]:
         changed = msgspec.structs.replace(member, state=state)
         self._view.put(changed)
-        self._tell_news(changed)
+        self._queue_gossip(changed)
         return self._report(changed, member)
 
     @staticmethod
     def _report(
-        member: members.Member, held: members.Member | None
+        member: members.Member, previous: members.Member | None
     ) -> list[part.Action]:
         same = (
-            held is not None
-            and held.state is member.state
-            and held.incarnation == member.incarnation
+            previous is not None
+            and previous.state is member.state
+            and previous.incarnation == member.incarnation
         )
         if same:
             return []
@@ -658,23 +685,29 @@
             actions.Tell(messages.MemberChanged(member.id)),
         ]
 
-    def _tell_news(self, member: members.Member) -> None:
+    def _queue_gossip(self, member: members.Member) -> None:
+        """Have a changed member sent in the next messages."""
         size = len(self._view.all())
-        repeats = _NEWS_REPEATS * math.ceil(math.log2(size + 1))
-        self._news[member.id] = repeats
+        repeats = _GOSSIP_REPEAT_FACTOR * math.ceil(math.log2(size + 1))
+        self._gossip_repeats[member.id] = repeats
+
+    def _take_gossip(self) -> tuple[members.Member, ...]:
+        """Return this node and the changes with the most repeats left.
 
-    def _take_news(self) -> tuple[members.Member, ...]:
-        """Return this node itself and the freshest news, bounded."""
+        There are at most `news_limit` members in all.
+        """
         me = self._view.me
-        self._news.pop(me.id, None)
-        ranked = sorted(self._news, key=lambda node: -self._news[node])
+        self._gossip_repeats.pop(me.id, None)
+        ranked = sorted(
+            self._gossip_repeats, key=lambda node: -self._gossip_repeats[node]
+        )
         chosen = ranked[: self._settings.news_limit - 1]
-        found = [me]
+        result = [me]
         for node in chosen:
-            self._news[node] -= 1
-            if self._news[node] <= 0:
-                del self._news[node]
+            self._gossip_repeats[node] -= 1
+            if self._gossip_repeats[node] <= 0:
+                del self._gossip_repeats[node]
             member = self._view.get(node)
             if member is not None:
-                found.append(member)
-        return tuple(found)
+                result.append(member)
+        return tuple(result)
