--- a/currantwall/coordination/peers/broadcast.py
+++ b/currantwall/coordination/peers/broadcast.py
@@ -1,13 +1,13 @@
-"""Spreading payloads to all entry nodes by way of relays.
+"""Disseminates payloads to all entry nodes through relays.
 
-A node sends its items to the relays of its data centre, in batches or at
-once when urgent. A relay passes them down to its data centre and across
-to one relay of each other one, which passes them down there. With n
-nodes in d data centres a node that is no relay sends and receives a few
-messages an interval whatever n is; a relay sends n/d + d.
+A node sends its items to the relays of its data centre, in batches or, if
+urgent, at once. A relay forwards them to the nodes of its data centre and
+to one relay of each other data centre, which forwards them to the nodes
+there. With n nodes in d data centres, a node that is not a relay sends and
+receives a few messages per interval regardless of n; a relay sends n/d + d.
 
-Doubles are dropped by origin, incarnation and serial. An item's age
-grows by the time it lies in each carrier and by link delays.
+Duplicates are dropped by origin, incarnation and serial. An item's age
+grows by the time it is queued at each node on its way and by link delays.
 """
 
 import collections
@@ -23,48 +23,48 @@
 
 __all__ = ["Broadcast"]
 
-# Serials remembered for each origin to drop doubles.
-_SEEN_LIMIT = 1024
-# Items of one message at most, so that one step stays short.
-_ITEMS_LIMIT = 512
-# Items held back at most; the oldest go first.
-_HELD_LIMIT = 4096
+# Serials remembered for each origin in order to drop duplicates.
+_SEEN_SERIALS_LIMIT = 1024
+# Items in one bundle, so that handling a message stays short.
+_BUNDLE_ITEMS_LIMIT = 512
+# Items queued for each scope; the oldest are dropped beyond that.
+_QUEUE_LIMIT = 4096
 
 
-class _Held:
-    """Items waiting for the next batch, with the time they came."""
+class _Queue:
+    """Items that wait for the next batch, with the time of their arrival."""
 
     def __init__(self) -> None:
         self.items: collections.deque[tuple[wire.Item, float]] = (
-            collections.deque(maxlen=_HELD_LIMIT)
+            collections.deque(maxlen=_QUEUE_LIMIT)
         )
 
-    def take(self, now: float) -> list[wire.Item]:
-        """Return the items, older by the time they waited."""
-        found = [_grow_older(item, now - at) for item, at in self.items]
+    def drain(self, now: float) -> list[wire.Item]:
+        """Remove and return the items, older by the time they waited."""
+        drained = [_add_age(item, now - at) for item, at in self.items]
         self.items.clear()
-        return found
+        return drained
 
 
-class _Seen:
-    """Serials of one origin that were delivered already."""
+class _SeenSerials:
+    """Serials of one process of an origin that were already delivered."""
 
     def __init__(self, incarnation: ids.Incarnation) -> None:
         self.incarnation = incarnation
         self._serials: dict[int, None] = {}
 
     def add(self, serial: int) -> bool:
-        """Return whether the serial is new."""
+        """Remember a serial; return whether it is new."""
         if serial in self._serials:
             return False
         self._serials[serial] = None
-        if len(self._serials) > _SEEN_LIMIT:
+        if len(self._serials) > _SEEN_SERIALS_LIMIT:
             del self._serials[next(iter(self._serials))]
         return True
 
 
 class Broadcast(part.Part):
-    """Carries published payloads."""
+    """Sends and forwards published payloads."""
 
     def __init__(
         self,
@@ -76,20 +76,20 @@
         self._members = members
         self._interval = settings.flush_interval
         self._serial = 0
-        self._seen: dict[ids.NodeId, _Seen] = {}
-        self._held = {scope: _Held() for scope in wire.Scope}
+        self._seen: dict[ids.NodeId, _SeenSerials] = {}
+        self._queues = {scope: _Queue() for scope in wire.Scope}
         self._next_flush = 0.0
 
     def due(self) -> float | None:
-        """Return when the next tick is wanted."""
-        if any(held.items for held in self._held.values()):
+        """Return the monotonic time of the next tick that is wanted."""
+        if any(queue.items for queue in self._queues.values()):
             return self._next_flush
         return None
 
     def publish(
         self, action: actions.Publish, now: float
     ) -> list[part.Action]:
-        """Send a payload of this node on its way."""
+        """Queue a payload of this node, or send it at once if urgent."""
         me = self._view.me
         self._serial += 1
         item = wire.Item(
@@ -99,7 +99,7 @@
             payload=action.payload,
         )
         for scope in self._choose_scopes(action.local):
-            self._hold(scope, item, now)
+            self._enqueue(scope, item, now)
         if action.urgent:
             return self._flush(now)
         return []
@@ -122,28 +122,29 @@
         self, message: messages.Received, now: float
     ) -> list[part.Action]:
         scope = message.body.scope
-        found: list[part.Action] = []
+        result: list[part.Action] = []
         urgent = False
         for item in message.body.items:
             if not self._is_new(item):
                 continue
-            aged = _grow_older(item, message.delay)
-            found.append(self._deliver(aged))
+            aged = _add_age(item, message.delay)
+            result.append(self._deliver(aged))
             urgent = urgent or _is_urgent(aged.payload)
             if scope is wire.Scope.UP:
-                self._hold(wire.Scope.ACROSS, aged, now)
+                self._enqueue(wire.Scope.ACROSS, aged, now)
             if scope is not wire.Scope.DOWN:
-                self._hold(wire.Scope.DOWN, aged, now)
+                self._enqueue(wire.Scope.DOWN, aged, now)
         if urgent:
-            found += self._flush(now)
-        return found
+            result += self._flush(now)
+        return result
 
     def _is_new(self, item: wire.Item) -> bool:
+        """Return whether an item is new here; remember its serial."""
         if item.origin == self._view.me.id:
             return False
         seen = self._seen.get(item.origin)
         if seen is None or seen.incarnation < item.incarnation:
-            seen = _Seen(item.incarnation)
+            seen = _SeenSerials(item.incarnation)
             self._seen[item.origin] = seen
         if seen.incarnation > item.incarnation:
             return False
@@ -151,20 +152,20 @@
 
     @staticmethod
     def _deliver(item: wire.Item) -> actions.Tell:
-        told = messages.Delivered(item.origin, item.payload, item.age)
-        return actions.Tell(told)
+        delivered = messages.Delivered(item.origin, item.payload, item.age)
+        return actions.Tell(delivered)
 
-    def _hold(self, scope: wire.Scope, item: wire.Item, now: float) -> None:
-        self._held[scope].items.append((item, now))
+    def _enqueue(self, scope: wire.Scope, item: wire.Item, now: float) -> None:
+        self._queues[scope].items.append((item, now))
 
     def _flush(self, now: float) -> list[part.Action]:
         self._next_flush = now + self._interval
-        found: list[part.Action] = []
+        result: list[part.Action] = []
         for scope in wire.Scope:
-            items = self._held[scope].take(now)
+            items = self._queues[scope].drain(now)
             for node in self._list_receivers(scope) if items else ():
-                found += _split(node, scope, items)
-        return found
+                result += _make_bundles(node, scope, items)
+        return result
 
     def _list_receivers(self, scope: wire.Scope) -> list[ids.NodeId]:
         me = self._view.me
@@ -174,28 +175,28 @@
         if scope is wire.Scope.DOWN:
             present = self._view.present(me.datacentre)
             return [m.id for m in present if m.id != me.id]
-        return self._choose_across()
+        return self._choose_remote_relays()
 
-    def _choose_across(self) -> list[ids.NodeId]:
+    def _choose_remote_relays(self) -> list[ids.NodeId]:
         """Return one relay of each other data centre.
 
-        The relays of one data centre prefer different ones there, so
-        that one dead relay does not lose what both of them carry.
+        The relays of this data centre prefer different relays there, so
+        that one dead relay does not lose what each of them forwards.
         """
         me = self._view.me
-        mine = self._members.list_relays(me.datacentre)
-        place = mine.index(me.id) if me.id in mine else 0
-        found = []
+        own_relays = self._members.list_relays(me.datacentre)
+        index = own_relays.index(me.id) if me.id in own_relays else 0
+        result = []
         for datacentre in self._view.datacentres():
             if datacentre == me.datacentre:
                 continue
             relays = self._members.list_relays(datacentre)
             if relays:
-                found.append(relays[place % len(relays)])
-        return found
+                result.append(relays[index % len(relays)])
+        return result
 
 
-def _grow_older(item: wire.Item, seconds: float) -> wire.Item:
+def _add_age(item: wire.Item, seconds: float) -> wire.Item:
     if seconds <= 0:
         return item
     return wire.Item(
@@ -208,19 +209,22 @@
 
 
 def _is_urgent(payload: wire.Payload) -> bool:
-    """Return whether relays pass a payload on at once."""
+    """Return whether relays forward a payload at once."""
     if isinstance(payload, wire.Evidence):
         return payload.verdict is not wire.Verdict.WHOLE
     return not isinstance(payload, wire.Demand)
 
 
-def _split(
+def _make_bundles(
     node: ids.NodeId, scope: wire.Scope, items: list[wire.Item]
 ) -> list[part.Action]:
+    """Return the sends of items to a node, in bundles of limited size."""
     return [
         actions.Send(
             node,
-            wire.Bundle(scope, tuple(items[start : start + _ITEMS_LIMIT])),
+            wire.Bundle(
+                scope, tuple(items[start : start + _BUNDLE_ITEMS_LIMIT])
+            ),
         )
-        for start in range(0, len(items), _ITEMS_LIMIT)
+        for start in range(0, len(items), _BUNDLE_ITEMS_LIMIT)
     ]
