--- a/currantwall/coordination/peers/digests.py
+++ b/currantwall/coordination/peers/digests.py
@@ -1,14 +1,14 @@
-"""What relays pass on between the nodes of a large fleet.
+"""Aggregates heartbeats at relays, for fleets too large for a full mesh.
 
-The load it answers: 142 nodes that tell each other everything send 350
-datagrams a second each. Here a node sends its heartbeat to two relays of
-its data centre. Each relay adds up what the nodes that ask it tell (its
-part), exchanges parts with the other relays, and answers with the sum of
-all parts (the view). News that cannot wait, such as a lost member, takes
-three datagrams from any node to any other.
+If each of 142 nodes sent its heartbeats to all others, each would send 350
+datagrams a second. Instead a node sends its heartbeat to two relays of its
+data centre. Each relay aggregates the heartbeats of its clients into a
+partial digest, exchanges partial digests with the other relays, and sends
+its clients the aggregate of all of them, the total digest. Urgent reports,
+such as a lost member, take three datagrams from any node to any other.
 
-A node asks two relays and both tell that it lives; its counts are added
-up by the first one only, or they would stand in the view twice.
+Both relays of a node report that it is alive, but only the first one adds
+up its request counts, or the total would include them twice.
 """
 
 from collections import abc
@@ -23,28 +23,33 @@
 
 Asks = presence_module.Asks
 
-# Seconds since a node last asked after which it gets no more digests.
-_ASKED = 1.5
-# Digests of which one names the nodes; the others say "as before".
-_FULL_EVERY = 4
+# Time since a client's last heartbeat after which it gets no more digests.
+_CLIENT_TIMEOUT_SECONDS = 1.5
+# One in this many digests names the nodes even if they are unchanged.
+_FULL_DIGEST_ROUNDS = 4
 
 
 class Digest(
     msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True, tag="digest"
 ):
-    """The sum of what some nodes tell.
+    """The aggregate of the heartbeats of some nodes.
 
     Attributes:
         node: The relay that sends it.
         serial: Rises with each digest of a process.
-        is_part: Whether it is the sum of the nodes that ask this relay,
-            for other relays; else the sum of all nodes.
-        nodes: Nodes that live, and whether they take requests; None
-            where they are the same as in the last digest that named them.
-        nodes_hash: Tells which nodes those are.
+        is_part: Whether this is a partial digest, of the relay and its
+            clients, for other relays; else it is a total digest, of all
+            nodes, for the clients.
+        nodes: Live nodes, and whether they take requests; None if they
+            are the same as in the last digest that named them.
+        nodes_hash: Hash of `nodes`.
         configuration: Version in force at the relay.
         instances: Revision of the list of instances at the relay.
-        store_age: Seconds since the store last answered the relay.
+        store_age: Seconds since the store last answered the relay; None
+            if the relay does not read the store.
+        loads: Requests in flight, by upstream, summed over the nodes.
+        stalled: As in a heartbeat, of all the nodes; so are `lost`,
+            `slow` and `leases`.
     """
 
     node: presence_module.NodeEntry
@@ -63,7 +68,7 @@
 
 
 class Alarm(msgspec.Struct, frozen=True, tag="alarm"):
-    """Upstreams that fell silent, told to the holder of their domain."""
+    """Upstreams that stopped responding, for the holder of their domain."""
 
     stalled: tuple[str, ...]
 
@@ -72,14 +77,14 @@
 
 
 class Datagram(msgspec.Struct, frozen=True):
-    """A message and the nodes it goes to."""
+    """A message and its receivers."""
 
     to: tuple[presence_module.NodeEntry, ...]
     message: Message
 
 
-class _Sum:
-    """Adds up what nodes tell."""
+class _Aggregate:
+    """Aggregates heartbeats and digests."""
 
     def __init__(self) -> None:
         self.nodes: dict[str, bool] = {}
@@ -93,208 +98,239 @@
         for name, count in loads.items():
             self.loads[name] = self.loads.get(name, 0) + count
 
-    def add_news(self, told: "presence_module.Heartbeat | Digest") -> None:
-        self.stalled.update(dict.fromkeys(told.stalled))
-        self.lost.update(dict.fromkeys(told.lost))
-        self.slow.update(dict.fromkeys(told.slow))
-        for domain, lease in told.leases.items():
-            held = self.leases.get(domain)
-            if held is None or lease.revision > held.revision:
+    def add_reports(
+        self, message: "presence_module.Heartbeat | Digest"
+    ) -> None:
+        """Add all but the loads and the nodes."""
+        self.stalled.update(dict.fromkeys(message.stalled))
+        self.lost.update(dict.fromkeys(message.lost))
+        self.slow.update(dict.fromkeys(message.slow))
+        for domain, lease in message.leases.items():
+            known = self.leases.get(domain)
+            if known is None or lease.revision > known.revision:
                 self.leases[domain] = lease
 
 
-class _Asker:
+class _Client:
+    """A node that asks this one to relay, and its last heartbeat."""
+
     def __init__(
         self, heartbeat: presence_module.Heartbeat, now: float
     ) -> None:
         self.heartbeat = heartbeat
-        self.asked = now
+        self.last_heard = now
 
 
 class Relay:
-    """The digests that this node has and gives."""
+    """Receives digests, and composes them where this node is a relay.
+
+    All times are monotonic, in seconds.
+    """
 
     def __init__(self, presence: presence_module.Presence) -> None:
         self._presence = presence
-        self._askers: dict[ids.NodeId, _Asker] = {}
-        self._parts: dict[ids.NodeId, tuple[float, Digest]] = {}
-        self._views: dict[ids.NodeId, tuple[float, Digest]] = {}
+        self._clients: dict[ids.NodeId, _Client] = {}
+        # The last digest of each relay, and when it came.
+        self._partial_digests: dict[ids.NodeId, tuple[float, Digest]] = {}
+        self._total_digests: dict[ids.NodeId, tuple[float, Digest]] = {}
         self._serial = 0
         self._urgent = False
-        # Nodes named in the last part and the last view that were sent.
-        self._named = {True: 0, False: 0}
+        # Hash of the nodes in the last digest sent, by `is_part`.
+        self._sent_nodes_hashes = {True: 0, False: 0}
 
-    # -- What is heard
+    # -- Input from other nodes
 
     def note_heartbeat(
         self, heartbeat: presence_module.Heartbeat, now: float
     ) -> None:
-        """Take note of a heartbeat that may ask this node to relay."""
+        """Record a heartbeat that may ask this node to relay."""
         if heartbeat.asks is Asks.NOTHING:
             return
-        before = self._askers.get(heartbeat.node.id)
-        self._askers[heartbeat.node.id] = _Asker(heartbeat, now)
-        told = before.heartbeat if before else None
-        changed = told is not None and heartbeat.ready != told.ready
-        self._note_lost(heartbeat.lost, told.lost if told else ())
-        self._note_lost(heartbeat.slow, told.slow if told else ())
+        client = self._clients.get(heartbeat.node.id)
+        self._clients[heartbeat.node.id] = _Client(heartbeat, now)
+        last = client.heartbeat if client else None
+        changed = last is not None and heartbeat.ready != last.ready
+        self._note_reports(heartbeat.lost, last.lost if last else ())
+        self._note_reports(heartbeat.slow, last.slow if last else ())
         self._urgent = self._urgent or changed
 
     def note_digest(self, digest: Digest, now: float) -> bool:
-        """Take note of a digest; return whether it is a newer one."""
-        held = self._parts if digest.is_part else self._views
-        at, last = held.get(digest.node.id, (now, None))
-        if last is not None and now - at > presence_module.ABSENT_AFTER:
-            # The clock may have gone back between two processes of the
-            # relay; what is heard now counts.
+        """Record a digest; return whether it is newer than the last."""
+        digests = (
+            self._partial_digests if digest.is_part else self._total_digests
+        )
+        at, last = digests.get(digest.node.id, (now, None))
+        if (
+            last is not None
+            and now - at > presence_module.HEARTBEAT_TIMEOUT_SECONDS
+        ):
+            # The wall clock may have gone back between two processes of
+            # the relay, so that the newer one has the lower incarnation.
+            # It is accepted since the older one is silent.
             last = None
-        if last is not None and _is_late(digest, last):
+        if last is not None and _is_outdated(digest, last):
             return False
         nodes = digest.nodes
         if nodes is None and last is not None:
             same = last.nodes_hash == digest.nodes_hash
             nodes = last.nodes if same else None
         digest = msgspec.structs.replace(digest, nodes=nodes)
-        held[digest.node.id] = (now, digest)
-        self._presence.note_relay(
+        digests[digest.node.id] = (now, digest)
+        self._presence.note_digest_sender(
             digest.node, digest.instances, digest.store_age, now
         )
         if nodes is not None:
             if last is not None and last.nodes is not None:
-                gone = last.nodes.keys() - nodes.keys()
-                self._presence.note_missing(gone, now)
-            self._presence.note_relayed(nodes, now)
+                dropped = last.nodes.keys() - nodes.keys()
+                self._presence.note_dropped_nodes(dropped, now)
+            self._presence.note_relayed_nodes(nodes, now)
         if digest.is_part:
-            self._note_lost(digest.lost, last.lost if last else ())
-            self._note_lost(digest.slow, last.slow if last else ())
+            self._note_reports(digest.lost, last.lost if last else ())
+            self._note_reports(digest.slow, last.slow if last else ())
         return True
 
-    def _note_lost(
-        self, lost: abc.Iterable[str], before: abc.Iterable[str]
+    def _note_reports(
+        self, reported: abc.Iterable[str], before: abc.Iterable[str]
     ) -> None:
-        self._urgent = self._urgent or bool(set(lost) - set(before))
+        """Have digests sent at once if there is a new report."""
+        self._urgent = self._urgent or bool(set(reported) - set(before))
 
     def take_urgent(self) -> bool:
-        """Return whether there is news that cannot wait for its turn."""
+        """Return whether digests are due at once; clear the request."""
         urgent, self._urgent = self._urgent, False
         return urgent
 
-    # -- What is given
+    # -- Output
 
     def is_acting(self, now: float) -> bool:
-        """Return whether this node adds up what others tell."""
+        """Return whether this node acts as a relay."""
         if self._presence.is_small:
             return False
-        return bool(self._list_askers(now)) or (
+        return bool(self._list_clients(now)) or (
             not self._presence.list_own_relays(now)
         )
 
-    def _list_askers(self, now: float) -> list[_Asker]:
-        for name, asker in list(self._askers.items()):
-            if now - asker.asked > _ASKED:
-                del self._askers[name]
-        return list(self._askers.values())
+    def _list_clients(self, now: float) -> list[_Client]:
+        for name, client in list(self._clients.items()):
+            if now - client.last_heard > _CLIENT_TIMEOUT_SECONDS:
+                del self._clients[name]
+        return list(self._clients.values())
 
     def list_datagrams(
         self, own: presence_module.Heartbeat, now: float
     ) -> list[Datagram]:
-        """Return what is due to be sent, and to whom.
+        """Return the messages of one round and their receivers.
 
         Args:
-            own: What this node tells of itself.
+            own: The heartbeat of this node.
             now: Monotonic time.
         """
         if self._presence.is_small:
-            return [Datagram(tuple(self._presence.list_everyone()), own)]
+            return [Datagram(tuple(self._presence.list_peers()), own)]
         relays = self._presence.list_own_relays(now)
         found = []
-        for place, relay in enumerate(relays):
-            asks = Asks.ANSWERS if place else Asks.RELAY
-            asking = msgspec.structs.replace(own, asks=asks)
-            found.append(Datagram((relay,), asking))
-        self._presence.note_asked(relays, now)
+        for index, relay in enumerate(relays):
+            asks = Asks.ANSWERS if index else Asks.RELAY
+            heartbeat = msgspec.structs.replace(own, asks=asks)
+            found.append(Datagram((relay,), heartbeat))
+        self._presence.note_relay_requests(relays, now)
         if not self.is_acting(now):
             return found
         self._serial += 1
-        # Where others relay for this node, they count its requests.
-        counted = not relays
-        part = self._make(own, self._add_part(own, counted, now), True)
-        view = self._make(own, self._add_all(own, counted, now), False)
-        askers = tuple(one.heartbeat.node for one in self._list_askers(now))
+        # If this node has relays, they include its requests.
+        with_loads = not relays
+        partial = self._make_digest(
+            own, self._aggregate_clients(own, with_loads, now), True
+        )
+        total = self._make_digest(
+            own, self._aggregate_all(own, with_loads, now), False
+        )
+        clients = tuple(
+            client.heartbeat.node for client in self._list_clients(now)
+        )
         others = tuple(self._presence.list_other_relays(now))
-        self._presence.note_asked(others, now)
+        self._presence.note_relay_requests(others, now)
         return [
             *found,
-            Datagram(others, self._shorten(part)),
-            Datagram(askers, self._shorten(view)),
+            Datagram(others, self._omit_sent_nodes(partial)),
+            Datagram(clients, self._omit_sent_nodes(total)),
         ]
 
-    def _add_part(
-        self, own: presence_module.Heartbeat, counted: bool, now: float
-    ) -> _Sum:
-        """Return the sum of this node and those that ask it."""
-        total = _Sum()
-        total.nodes[own.node.id] = own.ready
-        if counted:
-            total.add_loads(own.loads)
-        total.add_news(own)
-        for asker in self._list_askers(now):
-            told = asker.heartbeat
-            total.nodes[told.node.id] = told.ready
-            if told.asks is Asks.RELAY:
-                total.add_loads(told.loads)
-            total.add_news(told)
-        return total
-
-    def _add_all(
-        self, own: presence_module.Heartbeat, counted: bool, now: float
-    ) -> _Sum:
-        """Return the sum of all nodes."""
-        total = self._add_part(own, counted, now)
-        for at, digest in list(self._parts.values()):
-            if now - at > presence_module.ABSENT_AFTER:
-                del self._parts[digest.node.id]
-                continue
-            total.nodes |= digest.nodes or {}
-            total.add_loads(digest.loads)
-            total.add_news(digest)
-        return total
+    def _aggregate_clients(
+        self, own: presence_module.Heartbeat, with_loads: bool, now: float
+    ) -> _Aggregate:
+        """Return the aggregate of this node and its clients.
 
-    def _make(
-        self, own: presence_module.Heartbeat, total: _Sum, is_part: bool
+        Args:
+            own: The heartbeat of this node.
+            with_loads: Whether to include this node's own requests.
+            now: Monotonic time.
+        """
+        aggregate = _Aggregate()
+        aggregate.nodes[own.node.id] = own.ready
+        if with_loads:
+            aggregate.add_loads(own.loads)
+        aggregate.add_reports(own)
+        for client in self._list_clients(now):
+            heartbeat = client.heartbeat
+            aggregate.nodes[heartbeat.node.id] = heartbeat.ready
+            if heartbeat.asks is Asks.RELAY:
+                aggregate.add_loads(heartbeat.loads)
+            aggregate.add_reports(heartbeat)
+        return aggregate
+
+    def _aggregate_all(
+        self, own: presence_module.Heartbeat, with_loads: bool, now: float
+    ) -> _Aggregate:
+        """Return the aggregate of all nodes."""
+        aggregate = self._aggregate_clients(own, with_loads, now)
+        for at, digest in list(self._partial_digests.values()):
+            if now - at > presence_module.HEARTBEAT_TIMEOUT_SECONDS:
+                del self._partial_digests[digest.node.id]
+                continue
+            aggregate.nodes |= digest.nodes or {}
+            aggregate.add_loads(digest.loads)
+            aggregate.add_reports(digest)
+        return aggregate
+
+    def _make_digest(
+        self,
+        own: presence_module.Heartbeat,
+        aggregate: _Aggregate,
+        is_part: bool,
     ) -> Digest:
         names = " ".join(
             f"{name}{int(ready)}"
-            for name, ready in sorted(total.nodes.items())
+            for name, ready in sorted(aggregate.nodes.items())
         )
         return Digest(
             node=own.node,
             serial=self._serial,
             is_part=is_part,
-            nodes=total.nodes,
+            nodes=aggregate.nodes,
             nodes_hash=hashing.hash_text(names),
             configuration=own.configuration,
             instances=own.instances,
             store_age=own.store_age,
-            loads=total.loads,
-            stalled=tuple(total.stalled),
-            lost=tuple(total.lost),
-            slow=tuple(total.slow),
-            leases=total.leases,
+            loads=aggregate.loads,
+            stalled=tuple(aggregate.stalled),
+            lost=tuple(aggregate.lost),
+            slow=tuple(aggregate.slow),
+            leases=aggregate.leases,
         )
 
-    def _shorten(self, digest: Digest) -> Digest:
-        """Return a digest without the nodes where they are known."""
-        due = digest.serial % _FULL_EVERY == 0
-        before = self._named[digest.is_part]
-        self._named[digest.is_part] = digest.nodes_hash
+    def _omit_sent_nodes(self, digest: Digest) -> Digest:
+        """Return a digest, without the nodes if they are unchanged."""
+        due = digest.serial % _FULL_DIGEST_ROUNDS == 0
+        before = self._sent_nodes_hashes[digest.is_part]
+        self._sent_nodes_hashes[digest.is_part] = digest.nodes_hash
         if due or digest.nodes_hash != before:
             return digest
         return msgspec.structs.replace(digest, nodes=None)
 
 
-def _is_late(digest: Digest, last: Digest) -> bool:
-    """Return whether a digest is older than the last one."""
+def _is_outdated(digest: Digest, last: Digest) -> bool:
+    """Return whether a digest is no newer than the last one."""
     if digest.node.incarnation != last.node.incarnation:
         return digest.node.incarnation < last.node.incarnation
     return digest.serial <= last.serial
--- a/currantwall/coordination/peers/presence.py
+++ b/currantwall/coordination/peers/presence.py
@@ -1,13 +1,13 @@
-"""Which nodes live, and which of them pass news on.
+"""Tracks which nodes are alive and chooses relays and store readers.
 
-Each node sends a heartbeat several times a second. It tells what the
-others cannot see: whether it takes requests, which configuration it has,
-which leases it holds, how many requests it has in work where, and which
-upstreams it saw fall silent.
+Each node sends a heartbeat several times a second. It carries what other
+nodes cannot see: whether the node takes requests, which configuration it
+has, which leases it holds, how many requests it has in flight at each
+upstream, and which upstreams stopped responding to it.
 
-A small fleet sends its heartbeats to everyone. In a larger one each node
-sends them to two relays of its data centre, which pass on what all nodes
-need in digests (`digests`); so a node's traffic does not grow with the
+In a small fleet each heartbeat goes to all nodes. In a larger one it goes
+to two relays of the node's data centre, which pass on what all nodes need
+in digests (`digests`), so that a node's traffic does not grow with the
 fleet. Relays are also the nodes that read the store for the others.
 """
 
@@ -23,60 +23,64 @@
 from currantwall.state import rendezvous
 
 __all__ = [
-    "ABSENT_AFTER",
     "Asks",
+    "HEARTBEAT_TIMEOUT_SECONDS",
     "Heartbeat",
     "HeldLease",
     "NodeEntry",
     "Presence",
 ]
 
-# Seconds without a heartbeat after which callers are not sent to a node:
-# three heartbeats, and half a second for a busy link.
-ABSENT_AFTER = 1.8
-# Seconds after which a node that the platform doesn't list is forgotten.
-_FORGET_AFTER = 30.0
-# Seconds in which a relay answers, three rounds, and seconds until one
-# that did not is asked again.
-_ANSWER_WAIT = 1.2
-_ASK_AGAIN = 10.0
-# Nodes up to which every heartbeat goes to everyone: 21 nodes send 50
+# Time without a heartbeat after which callers are not sent to a node: three
+# heartbeats, and half a second for a busy link.
+HEARTBEAT_TIMEOUT_SECONDS = 1.8
+# Time without a heartbeat after which a node is dropped that the platform
+# does not list.
+_UNLISTED_EXPIRY_SECONDS = 30.0
+# Time in which a relay should answer, three rounds, and time after which a
+# relay that did not answer is asked again.
+_RELAY_ANSWER_SECONDS = 1.2
+_RELAY_RETRY_SECONDS = 10.0
+# Up to this many nodes every heartbeat goes to all nodes: 21 nodes send 50
 # datagrams a second each; 142 would send 350.
-_EVERYONE = 32
-# Nodes of a data centre for each relay, which sends each of them a digest
-# every 0.4 s: 121 KB/s at 142 nodes, a seventh of the thinnest link.
+_FULL_MESH_NODES = 32
+# Nodes of a data centre per relay, which sends each of them a digest every
+# 0.4 s: 121 KB/s at 142 nodes, a seventh of the slowest link.
 _NODES_PER_RELAY = 25
-# Relays of a data centre at least, and that each node asks: one may fail.
-_RELAYS_LEAST = 2
-# Part of the largest capacity with which a node goes first for a duty.
-_ABLE = 0.5
-# Nodes of a data centre that read the store for all, and of all data
-# centres: more would only ask the same.
-_READERS = 2
-_READERS_ALL = 6
-# Seconds since a reader's last answer from the store after which a node
-# reads the store itself: a read each 0.5 s and a heartbeat each 0.4 s,
-# and a digest more in a large fleet, with one of them lost.
-_FRESH = 1.3
-_FRESH_RELAYED = 1.8
+# Minimum number of relays of a data centre, and number of relays that each
+# node sends its heartbeats to, since one may fail.
+_MIN_RELAYS = 2
+# Nodes with at least this ratio of the largest capacity are preferred for a
+# duty.
+_PREFERRED_CAPACITY_RATIO = 0.5
+# Number of nodes that read the store for all others, in each data centre and
+# in all of them; more would only repeat the same reads.
+_READERS_PER_DATACENTRE = 2
+_READERS_IN_ALL = 6
+# Time since a reader's last answer from the store after which a node reads
+# the store itself: a read every 0.5 s and a heartbeat every 0.4 s, one of
+# which may be lost; with relays, a digest in addition.
+_READER_TIMEOUT_SECONDS = 1.3
+_RELAYED_READER_TIMEOUT_SECONDS = 1.8
 
 
 class Asks(enum.IntEnum):
-    """What a heartbeat asks of the node that it is sent to."""
+    """What the sender of a heartbeat asks of its receiver."""
 
     NOTHING = 0
-    # Pass on all that the heartbeat tells, and answer with digests.
+    # Include the whole heartbeat in digests, and answer with digests.
     RELAY = 1
-    # Answer with digests; another node passes the counts on.
+    # The same without `loads`, which another relay adds up.
     ANSWERS = 2
 
 
 class HeldLease(msgspec.Struct, frozen=True):
-    """The lease of a domain as its holder tells of it.
+    """The lease of a domain as its holder announces it.
 
     Attributes:
-        revision: Of the stored object; rises with each renewal.
-        epoch: Fencing number of its orders.
+        revision: Revision of the stored object; rises with each renewal.
+        epoch: Fencing token of the holder's orders.
+        holder: Node that holds the lease.
         incarnation: Start of the holder's process.
     """
 
@@ -87,15 +91,15 @@
 
 
 class NodeEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """How to reach a node.
+    """Addresses and capacity of a node.
 
     Attributes:
         front: Address that callers connect to.
         heartbeats: Address for datagrams of other nodes.
         peer: Address where other nodes fetch the configuration.
         incarnation: Start of the process.
-        capacity: What it can carry, 1 for a whole core on a link of
-            100 Mbit/s; the scarcer of the two counts.
+        capacity: Capacity for requests, where 1 is a whole core on a link
+            of 100 Mbit/s; the scarcer of the two counts.
     """
 
     id: ids.NodeId
@@ -114,22 +118,23 @@
     omit_defaults=True,
     tag="heartbeat",
 ):
-    """What a node tells the others.
+    """State that a node sends to the others.
 
     Attributes:
+        node: The sender.
         serial: Rises with each heartbeat of a process.
-        asks: What it asks of the receiver.
-        ready: Whether it takes requests.
+        asks: What the sender asks of the receiver.
+        ready: Whether the node takes requests.
         configuration: Version in force, 0 for none.
-        loads: Requests in work by upstream.
-        stalled: Upstreams it saw fall silent of late.
-        lost: Leaders, by their lives, whose replica it found to lack a
-            member of late.
-        slow: Leaders, by their lives, whose replica a member slows down.
+        loads: Requests in flight from this node, by upstream.
+        stalled: Upstreams that recently stopped responding to the node.
+        lost: Leaders, by incarnation, whose replica the node recently
+            found to lack a member.
+        slow: Leaders, by incarnation, whose replica a member slows down.
         instances: Revision of the list of instances, 0 for none.
-        leases: The leases that it holds, by domain.
-        store_age: Seconds since the store last answered this node; None
-            where it doesn't read the store.
+        leases: The leases that the node holds, by domain.
+        store_age: Seconds since the store last answered the node; None if
+            the node does not read the store.
     """
 
     node: NodeEntry
@@ -147,157 +152,183 @@
 
 
 class _Peer:
+    """Another node and what is known of it."""
+
     def __init__(self, entry: NodeEntry) -> None:
         self.entry = entry
         self.score = rendezvous.score("relay", entry.id)
         self.heartbeat: Heartbeat | None = None
-        # When it was last known to live, by whatever way.
-        self.heard: float | None = None
+        # When it was last known to be alive, directly or through a relay.
+        self.last_heard: float | None = None
         # Since when it has been asked to relay without being heard.
-        self.asked: float | None = None
+        self.asked_since: float | None = None
         self.ready = False
-        self.instances = 0
-        self.listed = False
+        self.instances_revision = 0
+        self.is_listed = False
 
 
 class Presence:
-    """The other nodes as this one sees them."""
+    """The other nodes as this node sees them.
+
+    All times are monotonic, in seconds.
+    """
 
     def __init__(self, me: NodeEntry) -> None:
         self.me = me
         # Whether this node takes requests.
         self.ready = False
-        # Whether a digest named a node whose entry is not known here.
+        # Whether a digest names a node whose entry is not known here.
         self.lacks_entries = False
         self._peers: dict[ids.NodeId, _Peer] = {}
-        # When some reader last had an answer from the store.
-        self._store_seen: float | None = None
+        # When the store last answered a node that reads it.
+        self._store_answered_at: float | None = None
         self.store_history = outages.StoreHistory()
-        # What is known of the store's revision.
+        # Revisions of the store that are known, to detect stale reads.
         self.staleness = staleness.Staleness()
-        # This node among its peers, where relays are chosen.
-        self._own = _Peer(me)
-        # The nodes of each data centre in the order in which they are
-        # preferred for relays; empty until they are asked for.
-        self._places: dict[ids.DatacentreName, list[_Peer]] = {}
+        # This node itself, which may be chosen as a relay.
+        self._own_peer = _Peer(me)
+        # The nodes of each data centre, the preferred relays first. A cache:
+        # empty until it is needed.
+        self._ranked_peers: dict[ids.DatacentreName, list[_Peer]] = {}
 
-    # -- What is heard
+    # -- Input from the platform and other nodes
 
     def note_list(self, entries: abc.Iterable[NodeEntry], now: float) -> None:
-        """Take note of the nodes that the platform lists."""
+        """Record the nodes that the platform lists."""
         self.lacks_entries = False
         for peer in self._peers.values():
-            peer.listed = False
+            peer.is_listed = False
         for entry in entries:
             if entry.id != self.me.id:
-                peer = self._put(entry)
-                peer.listed = True
+                peer = self._add_peer(entry)
+                peer.is_listed = True
         for name, peer in list(self._peers.items()):
-            heard = peer.heard or 0.0
-            if not peer.listed and now - heard > _FORGET_AFTER:
+            last_heard = peer.last_heard or 0.0
+            if (
+                not peer.is_listed
+                and now - last_heard > _UNLISTED_EXPIRY_SECONDS
+            ):
                 del self._peers[name]
-                self._places.clear()
+                self._ranked_peers.clear()
 
     def note_heartbeat(self, heartbeat: Heartbeat, now: float) -> bool:
-        """Take note of a heartbeat; return whether it is news."""
+        """Record a heartbeat; return whether it is newer than the last."""
         entry = heartbeat.node
         if entry.id == self.me.id:
             return False
-        held = self._peers.get(entry.id)
-        if held is not None:
-            if entry.incarnation < held.entry.incarnation and (
-                self._is_heard(held, now)
+        known = self._peers.get(entry.id)
+        if known is not None:
+            if entry.incarnation < known.entry.incarnation and (
+                self._is_alive(known, now)
             ):
                 return False
-            last = held.heartbeat
+            last = known.heartbeat
             if (
                 last is not None
                 and last.node.incarnation == entry.incarnation
                 and last.serial >= heartbeat.serial
             ):
                 return False
-        peer = self._put(entry)
+        peer = self._add_peer(entry)
         if peer.entry != entry:
-            # The clock went back between two processes of the node: what
-            # is heard now counts, for the other one has fallen silent.
+            # The wall clock went back between two processes of the node.
+            # The newer process has the lower incarnation; it is accepted
+            # since the older one is silent.
             self._replace_entry(peer, entry)
         peer.heartbeat = heartbeat
-        peer.heard = now
-        peer.asked = None
+        peer.last_heard = now
+        peer.asked_since = None
         peer.ready = heartbeat.ready
-        peer.instances = heartbeat.instances
-        self._note_store(heartbeat.store_age, now)
+        peer.instances_revision = heartbeat.instances
+        self._note_store_age(heartbeat.store_age, now)
         return True
 
-    def note_relay(
+    def note_digest_sender(
         self,
         entry: NodeEntry,
         instances: int,
         store_age: float | None,
         now: float,
     ) -> None:
-        """Take note of a relay whose digest came."""
-        peer = self._put(entry)
+        """Record the relay that sent a digest.
+
+        Args:
+            entry: The relay.
+            instances: Revision of its list of instances.
+            store_age: Seconds since the store last answered it, if it
+                reads the store.
+            now: Monotonic time of the receipt.
+        """
+        peer = self._add_peer(entry)
         if peer.entry != entry:
             self._replace_entry(peer, entry)
-        peer.heard = now
-        peer.asked = None
+        peer.last_heard = now
+        peer.asked_since = None
         peer.ready = True
-        peer.instances = instances
-        self._note_store(store_age, now)
+        peer.instances_revision = instances
+        self._note_store_age(store_age, now)
 
-    def note_relayed(self, nodes: abc.Mapping[str, bool], now: float) -> None:
-        """Take note of nodes that a relay hears, and if they are ready."""
+    def note_relayed_nodes(
+        self, nodes: abc.Mapping[str, bool], now: float
+    ) -> None:
+        """Record nodes that a relay hears, and whether they are ready."""
         for name, ready in nodes.items():
             peer = self._peers.get(ids.NodeId(name))
             if peer is not None:
-                peer.heard = now
-                peer.asked = None
+                peer.last_heard = now
+                peer.asked_since = None
                 peer.ready = ready
             elif name != self.me.id:
                 self.lacks_entries = True
 
-    def note_missing(self, names: abc.Iterable[str], now: float) -> None:
-        """Take note of nodes that their relay no longer hears."""
+    def note_dropped_nodes(self, names: abc.Iterable[str], now: float) -> None:
+        """Record nodes that their relay no longer hears."""
         for name in names:
             peer = self._peers.get(ids.NodeId(name))
-            if peer is not None and peer.heard is not None:
-                peer.heard = min(peer.heard, now - ABSENT_AFTER)
+            if peer is not None and peer.last_heard is not None:
+                peer.last_heard = min(
+                    peer.last_heard, now - HEARTBEAT_TIMEOUT_SECONDS
+                )
 
-    def _note_store(self, age: float | None, now: float) -> None:
+    def _note_store_age(self, age: float | None, now: float) -> None:
         if age is not None:
-            self._store_seen = max(self._store_seen or 0.0, now - age)
+            self._store_answered_at = max(
+                self._store_answered_at or 0.0, now - age
+            )
             self.store_history.note_answer(now - age)
 
-    def _put(self, entry: NodeEntry) -> _Peer:
+    def _add_peer(self, entry: NodeEntry) -> _Peer:
         peer = self._peers.get(entry.id)
         if peer is None:
             peer = self._peers[entry.id] = _Peer(entry)
-            self._places.clear()
+            self._ranked_peers.clear()
         elif entry.incarnation > peer.entry.incarnation:
             self._replace_entry(peer, entry)
             peer.heartbeat = None
-            peer.heard = None
+            peer.last_heard = None
             peer.ready = False
         return peer
 
     def _replace_entry(self, peer: _Peer, entry: NodeEntry) -> None:
-        """Take over how to reach a node."""
+        """Replace the addresses and the capacity of a node."""
         peer.entry = entry
-        self._places.clear()
+        self._ranked_peers.clear()
 
-    # -- Who lives
+    # -- Liveness
 
     @staticmethod
-    def _is_heard(peer: _Peer, now: float) -> bool:
-        return peer.heard is not None and now - peer.heard <= ABSENT_AFTER
+    def _is_alive(peer: _Peer, now: float) -> bool:
+        return (
+            peer.last_heard is not None
+            and now - peer.last_heard <= HEARTBEAT_TIMEOUT_SECONDS
+        )
 
     def list_direct(self, now: float) -> list[Heartbeat]:
-        """Return the last heartbeat of each node heard without a relay."""
+        """Return the last heartbeats of live nodes, where not relayed."""
         return [
             peer.heartbeat
             for peer in self._peers.values()
-            if peer.heartbeat is not None and self._is_heard(peer, now)
+            if peer.heartbeat is not None and self._is_alive(peer, now)
         ]
 
     def list_ready(self, now: float) -> list[NodeEntry]:
@@ -305,107 +336,121 @@
         return [
             peer.entry
             for peer in self._peers.values()
-            if peer.ready and self._is_heard(peer, now)
+            if peer.ready and self._is_alive(peer, now)
         ]
 
     def rank(self, duty: str, now: float) -> list[ids.NodeId]:
-        """Return the live nodes in order of preference for a duty.
+        """Return the nodes that are ready, the preferred ones first.
+
+        Nodes of large capacity are preferred: the holder of a domain
+        probes each of its 37 instances up to five times a second while it
+        repairs a replica.
 
-        Those that can carry most go first: a holder probes each of a
-        domain's 37 instances up to five times a second while it mends it.
+        Args:
+            duty: Key of the duty; each key has an order of its own.
+            now: Monotonic time.
         """
-        listed = [*self.list_ready(now), self.me]
-        able = max(one.capacity for one in listed) * _ABLE
-        first = [one.id for one in listed if one.capacity >= able]
-        rest = [one.id for one in listed if one.capacity < able]
-        return rendezvous.rank(duty, first) + rendezvous.rank(duty, rest)
+        nodes = [*self.list_ready(now), self.me]
+        threshold = (
+            max(node.capacity for node in nodes) * _PREFERRED_CAPACITY_RATIO
+        )
+        preferred = [node.id for node in nodes if node.capacity >= threshold]
+        others = [node.id for node in nodes if node.capacity < threshold]
+        return rendezvous.rank(duty, preferred) + rendezvous.rank(duty, others)
 
     def is_live(self, node: ids.NodeId, now: float) -> bool:
-        """Return whether a node takes requests; this one always counts."""
+        """Return whether a node takes requests; always true of this one."""
         peer = self._peers.get(node)
         if peer is None:
             return node == self.me.id
-        return peer.ready and self._is_heard(peer, now)
+        return peer.ready and self._is_alive(peer, now)
 
     def is_alone(self, now: float) -> bool:
-        """Return whether none of the other nodes is heard.
+        """Return whether no other node is alive and ready.
 
-        Such a node is rather cut off itself than the last one alive.
+        This node is then more likely cut off than the last one alive.
         """
         return len(self._peers) > 0 and not self.list_ready(now)
 
     def count(self) -> int:
-        """Return the nodes known, this one included."""
+        """Return the number of known nodes, including this one."""
         return len(self._peers) + 1
 
     def find_newer_list(self, revision: int, now: float) -> NodeEntry | None:
-        """Return the node with the newest list of instances, if newer.
+        """Return the node with the newest list of instances.
 
-        Nodes of this data centre go first.
+        Nodes of this data centre are preferred. None if no list is newer
+        than a revision.
         """
         newer = [
             peer
             for peer in self._peers.values()
-            if peer.instances > revision and self._is_heard(peer, now)
+            if peer.instances_revision > revision and self._is_alive(peer, now)
         ]
         if not newer:
             return None
-        here = [one for one in newer if self._is_here(one.entry)]
-        best = max(here or newer, key=lambda peer: peer.instances)
+        local = [peer for peer in newer if self._is_local(peer.entry)]
+        best = max(local or newer, key=lambda peer: peer.instances_revision)
         return best.entry
 
-    def _is_here(self, entry: NodeEntry) -> bool:
+    def _is_local(self, entry: NodeEntry) -> bool:
         return entry.datacentre == self.me.datacentre
 
-    # -- Relays and readers
+    # -- Relays and readers of the store
 
     @property
     def is_small(self) -> bool:
-        """Return whether every heartbeat goes to everyone."""
-        return len(self._peers) < _EVERYONE
+        """Return whether every heartbeat goes to all nodes, without relays."""
+        return len(self._peers) < _FULL_MESH_NODES
 
     def list_relays(
         self, datacentre: ids.DatacentreName, now: float
     ) -> list[NodeEntry]:
         """Return the relays of a data centre, the preferred ones first.
 
-        The nodes that can carry most, among those that are heard or may
-        yet answer. Every node works it out for itself; where two differ
-        for a moment, a node that is asked answers.
+        These are the nodes of the largest capacity among those that are
+        alive or may still answer. Every node chooses by itself; where the
+        choices of two differ for a moment, any node that is asked answers.
         """
-        self._own.heard = now
-        self._own.ready = self.ready
-        ranked = self._list_place(datacentre)
-        live = sum(self._is_heard(peer, now) for peer in ranked)
-        wanted = max(math.ceil(live / _NODES_PER_RELAY), _RELAYS_LEAST)
-        asked = (peer for peer in ranked if self._may_answer(peer, now))
-        return self._take_first(asked, wanted, now)
-
-    def _list_place(self, datacentre: ids.DatacentreName) -> list[_Peer]:
-        """Return a data centre's nodes, those that can carry most first.
-
-        This node is one of them in its own.
+        self._own_peer.last_heard = now
+        self._own_peer.ready = self.ready
+        ranked = self._rank_peers(datacentre)
+        live = sum(self._is_alive(peer, now) for peer in ranked)
+        wanted = max(math.ceil(live / _NODES_PER_RELAY), _MIN_RELAYS)
+        candidates = (
+            peer for peer in ranked if self._is_relay_candidate(peer, now)
+        )
+        return self._select_relays(candidates, wanted, now)
+
+    def _rank_peers(self, datacentre: ids.DatacentreName) -> list[_Peer]:
+        """Return a data centre's nodes, those of largest capacity first.
+
+        In its own data centre this node is one of them.
         """
-        if not self._places:
-            for peer in (*self._peers.values(), self._own):
-                place = self._places.setdefault(peer.entry.datacentre, [])
-                place.append(peer)
-            for place in self._places.values():
-                place.sort(key=lambda one: (-one.entry.capacity, -one.score))
-        return self._places.get(datacentre, [])
-
-    def _take_first(
+        if not self._ranked_peers:
+            for peer in (*self._peers.values(), self._own_peer):
+                peers = self._ranked_peers.setdefault(
+                    peer.entry.datacentre, []
+                )
+                peers.append(peer)
+            for peers in self._ranked_peers.values():
+                peers.sort(
+                    key=lambda peer: (-peer.entry.capacity, -peer.score)
+                )
+        return self._ranked_peers.get(datacentre, [])
+
+    def _select_relays(
         self, ranked: abc.Iterable[_Peer], wanted: int, now: float
     ) -> list[NodeEntry]:
         """Return the first nodes; those that are not ready come last.
 
-        One that is not heard yet counts as ready, or each node would
-        take itself for the relay at the start and ask nobody.
+        A node that has not been heard yet counts as ready. Otherwise each
+        node would choose itself as relay at the start and ask no other.
         """
         found = []
         unready = []
         for peer in ranked:
-            if self._is_heard(peer, now) and not peer.ready:
+            if self._is_alive(peer, now) and not peer.ready:
                 unready.append(peer.entry)
                 continue
             found.append(peer.entry)
@@ -413,100 +458,109 @@
                 return found
         return (found + unready)[:wanted]
 
-    def _add_heard(
+    def _add_live_relay(
         self,
         relays: list[NodeEntry],
         datacentre: ids.DatacentreName,
         now: float,
     ) -> list[NodeEntry]:
-        """Return relays of which one is heard, where any node there is."""
-        ranked = self._list_place(datacentre)
-        peers = [peer for peer in ranked if peer is not self._own]
-        heard = [peer for peer in peers if self._is_heard(peer, now)]
-        names = {one.id for one in relays}
-        if any(peer.entry.id in names for peer in heard):
+        """Return the relays, and a live node if none of them is alive."""
+        ranked = self._rank_peers(datacentre)
+        peers = [peer for peer in ranked if peer is not self._own_peer]
+        live = [peer for peer in peers if self._is_alive(peer, now)]
+        names = {relay.id for relay in relays}
+        if any(peer.entry.id in names for peer in live):
             return relays
-        # Where nobody is heard, those that can carry most may be the
-        # relays there, and cut off from here.
-        wanted = 1 if heard else _RELAYS_LEAST
-        more = self._take_first(heard or peers, wanted, now)
-        return relays + [one for one in more if one.id not in names]
-
-    def _may_answer(self, peer: _Peer, now: float) -> bool:
-        """Return whether a node may be taken for a relay.
-
-        Failure: all relays die at once; a node that looked only at those
-        it hears would hear nobody any more and ask nobody. Silent ones
-        are therefore asked in turn.
+        # If no node there is alive, the nodes of largest capacity may be
+        # the relays there and only cut off from this node.
+        wanted = 1 if live else _MIN_RELAYS
+        more = self._select_relays(live or peers, wanted, now)
+        return relays + [entry for entry in more if entry.id not in names]
+
+    def _is_relay_candidate(self, peer: _Peer, now: float) -> bool:
+        """Return whether a node may be chosen as a relay.
+
+        Failure: all relays die at once. A node that asks only the nodes it
+        hears then hears none and asks none. Nodes that are not heard are
+        therefore asked in turn.
         """
-        if self._is_heard(peer, now) or peer.asked is None:
+        if self._is_alive(peer, now) or peer.asked_since is None:
             return True
-        waited = now - peer.asked
-        return waited <= _ANSWER_WAIT or waited > _ASK_AGAIN
+        waited = now - peer.asked_since
+        return waited <= _RELAY_ANSWER_SECONDS or waited > _RELAY_RETRY_SECONDS
 
-    def note_asked(self, nodes: abc.Iterable[NodeEntry], now: float) -> None:
-        """Take note of nodes that were asked to relay."""
+    def note_relay_requests(
+        self, nodes: abc.Iterable[NodeEntry], now: float
+    ) -> None:
+        """Record nodes that were asked to relay."""
         for entry in nodes:
             peer = self._peers.get(entry.id)
-            if peer is None or self._is_heard(peer, now):
+            if peer is None or self._is_alive(peer, now):
                 continue
-            if peer.asked is None or now - peer.asked > _ASK_AGAIN:
-                peer.asked = now
+            if (
+                peer.asked_since is None
+                or now - peer.asked_since > _RELAY_RETRY_SECONDS
+            ):
+                peer.asked_since = now
 
     def list_own_relays(self, now: float) -> list[NodeEntry]:
-        """Return the relays that this node asks; none where it is one."""
+        """Return the relays that this node asks; none if it is a relay."""
         relays = self.list_relays(self.me.datacentre, now)
-        names = [one.id for one in relays]
+        names = [relay.id for relay in relays]
         if self.me.id in names:
             return []
-        chosen = rendezvous.choose(self.me.id, names, _RELAYS_LEAST)
-        by_name = {one.id: one for one in relays}
+        chosen = rendezvous.choose(self.me.id, names, _MIN_RELAYS)
+        by_name = {relay.id: relay for relay in relays}
         own = [by_name[name] for name in chosen]
-        return self._add_heard(own, self.me.datacentre, now)
+        return self._add_live_relay(own, self.me.datacentre, now)
 
     def list_other_relays(self, now: float) -> list[NodeEntry]:
-        """Return the relays of all data centres but this node."""
-        self._list_place(self.me.datacentre)
+        """Return the relays of all data centres, except this node."""
+        self._rank_peers(self.me.datacentre)
         found = []
-        for place in sorted(self._places):
-            relays = self.list_relays(place, now)
-            if place != self.me.datacentre:
-                relays = self._add_heard(relays, place, now)
-            found += [one for one in relays if one.id != self.me.id]
+        for datacentre in sorted(self._ranked_peers):
+            relays = self.list_relays(datacentre, now)
+            if datacentre != self.me.datacentre:
+                relays = self._add_live_relay(relays, datacentre, now)
+            found += [relay for relay in relays if relay.id != self.me.id]
         return found
 
     def reads_store(self, now: float) -> bool:
         """Return whether this node has to read the store itself.
 
         One or two nodes of each data centre read it for all: each call is
-        paid for, and 142 nodes reading 300 entries twice a second take
-        a tenth of a thin link. The others read it only while they hear
-        of no reader that the store answers.
+        paid for, and 142 nodes that read 300 entries twice a second take a
+        tenth of a slow link. The others read it only while they know of no
+        reader that the store answers.
         """
         if self.is_reader(now):
             return True
-        seen = self._store_seen
-        fresh = _FRESH if self.is_small else _FRESH_RELAYED
-        return seen is None or now - seen > fresh
+        answered = self._store_answered_at
+        timeout = (
+            _READER_TIMEOUT_SECONDS
+            if self.is_small
+            else _RELAYED_READER_TIMEOUT_SECONDS
+        )
+        return answered is None or now - answered > timeout
 
     def is_reader(self, now: float) -> bool:
         """Return whether this node reads the store for its data centre."""
-        self._list_place(self.me.datacentre)
-        each = max(_READERS_ALL // len(self._places), 1)
+        self._rank_peers(self.me.datacentre)
+        count = max(_READERS_IN_ALL // len(self._ranked_peers), 1)
         relays = self.list_relays(self.me.datacentre, now)
-        readers = relays[: min(each, _READERS)]
-        return self.me.id in [one.id for one in readers]
+        readers = relays[: min(count, _READERS_PER_DATACENTRE)]
+        return self.me.id in [reader.id for reader in readers]
 
     @property
     def store_seen(self) -> float | None:
-        """Return when some reader last had an answer from the store."""
-        return self._store_seen
+        """Return when the store last answered a node that reads it."""
+        return self._store_answered_at
 
     def get(self, node: ids.NodeId) -> NodeEntry | None:
-        """Return how to reach another node."""
+        """Return the entry of another node, if it is known."""
         peer = self._peers.get(node)
         return peer.entry if peer else None
 
-    def list_everyone(self) -> list[NodeEntry]:
-        """Return all other nodes."""
+    def list_peers(self) -> list[NodeEntry]:
+        """Return the entries of all other nodes."""
         return [peer.entry for peer in self._peers.values()]
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -242,7 +242,7 @@
     Mutant(
         "counts of a node added up by both its relays",
         f"{_COORDINATION}/peers/digests.py",
-        "            if told.asks is Asks.RELAY:\n",
+        "            if heartbeat.asks is Asks.RELAY:\n",
         "            if True:\n",
         f"{_DIGESTS}.LargeFleetTest"
         ".test_the_counts_of_all_nodes_are_added_up_once",
@@ -250,9 +250,9 @@
     Mutant(
         "silent nodes never asked to relay",
         f"{_COORDINATION}/peers/presence.py",
-        "        if self._is_heard(peer, now) or peer.asked is None:\n"
+        "        if self._is_alive(peer, now) or peer.asked_since is None:\n"
         "            return True\n",
-        "        return self._is_heard(peer, now)\n",
+        "        return self._is_alive(peer, now)\n",
         f"{_DIGESTS}.LargeFleetTest"
         ".test_the_fleet_goes_on_when_all_relays_die_at_once",
     ),
--- a/tests/test_digests.py
+++ b/tests/test_digests.py
@@ -167,14 +167,14 @@
         self.net.run(16.0)
         self.assertEqual(set(self.count_ready()), {140})
         member = self.net.nodes["a-30"]
-        at, digest = member.relay._views["a-0"]
+        at, digest = member.relay._total_digests["a-0"]
         self.assertEqual(digest.node.incarnation, 0)
         self.assertLess(self.net.now - at, 1.0)
 
     def test_a_node_that_nobody_lists_is_looked_up(self):
         presence = self.net.nodes["a-30"].presence
         self.assertFalse(presence.lacks_entries)
-        presence.note_relayed({"a-new": True}, self.net.now)
+        presence.note_relayed_nodes({"a-new": True}, self.net.now)
         self.assertTrue(presence.lacks_entries)
 
 
