--- a/bench/nodes.py
+++ b/bench/nodes.py
@@ -27,7 +27,7 @@
 
 __all__ = ["measure_nodes"]
 
-Asks = presence_module.Asks
+RelayRequest = presence_module.RelayRequest
 
 # Nodes, instances, data centres.
 _SIZES = ((30, 165, 3), (100, 560, 3), (195, 1100, 5), (350, 2100, 7))
@@ -185,7 +185,11 @@
                     mine = nodes[number::_RELAYS]
                     yield self._make_digest(one, True, mine)
         for number, one in enumerate(places["a"][_RELAYS:]):
-            asks = Asks.RELAY if number % _RELAYS else Asks.ANSWERS
+            asks = (
+                RelayRequest.FULL
+                if number % _RELAYS
+                else RelayRequest.WITHOUT_LOADS
+            )
             yield presence_module.Heartbeat(
                 node=one,
                 serial=self._serial,
--- a/currantwall/coordination/peers/digests.py
+++ b/currantwall/coordination/peers/digests.py
@@ -21,7 +21,7 @@
 
 __all__ = ["Alarm", "Datagram", "Digest", "Relay"]
 
-Asks = presence_module.Asks
+RelayRequest = presence_module.RelayRequest
 
 # Time since a client's last heartbeat after which it gets no more digests.
 _CLIENT_TIMEOUT_SECONDS = 1.5
@@ -144,7 +144,7 @@
         self, heartbeat: presence_module.Heartbeat, now: float
     ) -> None:
         """Record a heartbeat that may ask this node to relay."""
-        if heartbeat.asks is Asks.NOTHING:
+        if heartbeat.asks is RelayRequest.NONE:
             return
         client = self._clients.get(heartbeat.node.id)
         self._clients[heartbeat.node.id] = _Client(heartbeat, now)
@@ -230,7 +230,7 @@
         relays = self._presence.list_own_relays(now)
         found = []
         for index, relay in enumerate(relays):
-            asks = Asks.ANSWERS if index else Asks.RELAY
+            asks = RelayRequest.WITHOUT_LOADS if index else RelayRequest.FULL
             heartbeat = msgspec.structs.replace(own, asks=asks)
             found.append(Datagram((relay,), heartbeat))
         self._presence.note_relay_requests(relays, now)
@@ -274,7 +274,7 @@
         for client in self._list_clients(now):
             heartbeat = client.heartbeat
             aggregate.nodes[heartbeat.node.id] = heartbeat.ready
-            if heartbeat.asks is Asks.RELAY:
+            if heartbeat.asks is RelayRequest.FULL:
                 aggregate.add_loads(heartbeat.loads)
             aggregate.add_reports(heartbeat)
         return aggregate
--- a/currantwall/coordination/peers/presence.py
+++ b/currantwall/coordination/peers/presence.py
@@ -23,12 +23,12 @@
 from currantwall.state import rendezvous
 
 __all__ = [
-    "Asks",
     "HEARTBEAT_TIMEOUT_SECONDS",
     "Heartbeat",
     "HeldLease",
     "NodeEntry",
     "Presence",
+    "RelayRequest",
 ]
 
 # Time without a heartbeat after which callers are not sent to a node: three
@@ -64,14 +64,14 @@
 _RELAYED_READER_TIMEOUT_SECONDS = 1.8
 
 
-class Asks(enum.IntEnum):
+class RelayRequest(enum.IntEnum):
     """What the sender of a heartbeat asks of its receiver."""
 
-    NOTHING = 0
+    NONE = 0
     # Include the whole heartbeat in digests, and answer with digests.
-    RELAY = 1
+    FULL = 1
     # The same without `loads`, which another relay adds up.
-    ANSWERS = 2
+    WITHOUT_LOADS = 2
 
 
 class HeldLease(msgspec.Struct, frozen=True):
@@ -128,9 +128,10 @@
         configuration: Version in force, 0 for none.
         loads: Requests in flight from this node, by upstream.
         stalled: Upstreams that recently stopped responding to the node.
-        lost: Leaders, by incarnation, whose replica the node recently
+        lost: Leaders, by `Upstream.life`, whose replica the node recently
             found to lack a member.
-        slow: Leaders, by incarnation, whose replica a member slows down.
+        slow: Leaders, by `Upstream.life`, whose replica a member slows
+            down.
         instances: Revision of the list of instances, 0 for none.
         leases: The leases that the node holds, by domain.
         store_age: Seconds since the store last answered the node; None if
@@ -139,7 +140,7 @@
 
     node: NodeEntry
     serial: int
-    asks: Asks = Asks.NOTHING
+    asks: RelayRequest = RelayRequest.NONE
     ready: bool = False
     configuration: int = 0
     loads: dict[str, int] = {}
--- a/currantwall/transport/news.py
+++ b/currantwall/transport/news.py
@@ -117,7 +117,7 @@
         if not self._presence.note_heartbeat(heartbeat, now):
             return
         self._relay.note_heartbeat(heartbeat, now)
-        if heartbeat.asks is not presence_module.Asks.ANSWERS:
+        if heartbeat.asks is not presence_module.RelayRequest.WITHOUT_LOADS:
             name = heartbeat.node.id
             self._balancer.note_loads(name, heartbeat.loads, now)
         self._take_news(heartbeat, now)
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -242,7 +242,7 @@
     Mutant(
         "counts of a node added up by both its relays",
         f"{_COORDINATION}/peers/digests.py",
-        "            if heartbeat.asks is Asks.RELAY:\n",
+        "            if heartbeat.asks is RelayRequest.FULL:\n",
         "            if True:\n",
         f"{_DIGESTS}.LargeFleetTest"
         ".test_the_counts_of_all_nodes_are_added_up_once",
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -15,7 +15,7 @@
 
 _NODES = 60
 _HEAD = ids.InstanceId("i1")
-Asks = presence_module.Asks
+RelayRequest = presence_module.RelayRequest
 
 
 class NewsTest(unittest.TestCase):
@@ -85,8 +85,8 @@
     def test_a_relay_adds_up_those_that_ask_it_first_and_other_parts(self):
         """A replica would look twice as busy as it is, or idle."""
         made = self.make(2.0)
-        made._hear(self.beat(5, Asks.RELAY, 2))
-        made._hear(self.beat(6, Asks.ANSWERS, 3))
+        made._hear(self.beat(5, RelayRequest.FULL, 2))
+        made._hear(self.beat(6, RelayRequest.WITHOUT_LOADS, 3))
         made._hear(self.digest(0, True, 4))
         made._hear(self.digest(0, False, 50, serial=2))
         self.assertEqual(self.balancer.count_load(_HEAD), 6)
@@ -97,7 +97,7 @@
         ended = []
         made.give_up = ended.append
         beat = msgspec.structs.replace(
-            self.beat(5, Asks.NOTHING, 0), lost=(f"{_HEAD}@3", "foreign")
+            self.beat(5, RelayRequest.NONE, 0), lost=(f"{_HEAD}@3", "foreign")
         )
         made._hear(beat)
         self.assertEqual(ended, [f"{_HEAD}@3"])
@@ -105,7 +105,7 @@
     def test_a_slow_replica_is_told_to_all(self):
         made = self.make(0.1)
         self.balancer.note_slow = mock.Mock()
-        beat = self.beat(5, Asks.NOTHING, 0)
+        beat = self.beat(5, RelayRequest.NONE, 0)
         made._hear(msgspec.structs.replace(beat, slow=(f"{_HEAD}@3",)))
         self.balancer.note_slow.assert_called_once_with(_HEAD, 3, 10.0)
         made.tell_slow("i9@4")
