--- a/currantwall/coordination/peers/changes.py
+++ b/currantwall/coordination/peers/changes.py
@@ -103,7 +103,7 @@
         self._trim_removals()
         self.changed = max(self.changed, revision)
 
-    def note_included(self, changed: int) -> None:
+    def include_revision(self, changed: int) -> None:
         """Record that this list includes another node's list.
 
         Failure: this list was read later than the other one. The other one
--- a/currantwall/coordination/peers/digests.py
+++ b/currantwall/coordination/peers/digests.py
@@ -202,9 +202,9 @@
 
     # -- Output
 
-    def is_acting(self, now: float) -> bool:
+    def is_active(self, now: float) -> bool:
         """Return whether this node acts as a relay."""
-        if self._presence.is_small:
+        if self._presence.is_full_mesh:
             return False
         return bool(self._list_clients(now)) or (
             not self._presence.list_own_relays(now)
@@ -225,7 +225,7 @@
             own: The heartbeat of this node.
             now: Monotonic time.
         """
-        if self._presence.is_small:
+        if self._presence.is_full_mesh:
             return [Datagram(tuple(self._presence.list_peers()), own)]
         relays = self._presence.list_own_relays(now)
         found = []
@@ -234,7 +234,7 @@
             heartbeat = msgspec.structs.replace(own, asks=asks)
             found.append(Datagram((relay,), heartbeat))
         self._presence.note_relay_requests(relays, now)
-        if not self.is_acting(now):
+        if not self.is_active(now):
             return found
         self._serial += 1
         # If this node has relays, they include its requests.
--- a/currantwall/coordination/peers/presence.py
+++ b/currantwall/coordination/peers/presence.py
@@ -179,7 +179,7 @@
         # Whether this node takes requests.
         self.ready = False
         # Whether a digest names a node whose entry is not known here.
-        self.lacks_entries = False
+        self.has_unknown_nodes = False
         self._peers: dict[ids.NodeId, _Peer] = {}
         # When the store last answered a node that reads it.
         self._store_answered_at: float | None = None
@@ -196,7 +196,7 @@
 
     def note_list(self, entries: abc.Iterable[NodeEntry], now: float) -> None:
         """Record the nodes that the platform lists."""
-        self.lacks_entries = False
+        self.has_unknown_nodes = False
         for peer in self._peers.values():
             peer.is_listed = False
         for entry in entries:
@@ -280,7 +280,7 @@
                 peer.asked_since = None
                 peer.ready = ready
             elif name != self.me.id:
-                self.lacks_entries = True
+                self.has_unknown_nodes = True
 
     def note_dropped_nodes(self, names: abc.Iterable[str], now: float) -> None:
         """Record nodes that their relay no longer hears."""
@@ -366,7 +366,7 @@
             return node == self.me.id
         return peer.ready and self._is_alive(peer, now)
 
-    def is_alone(self, now: float) -> bool:
+    def is_isolated(self, now: float) -> bool:
         """Return whether no other node is alive and ready.
 
         This node is then more likely cut off than the last one alive.
@@ -400,7 +400,7 @@
     # -- Relays and readers of the store
 
     @property
-    def is_small(self) -> bool:
+    def is_full_mesh(self) -> bool:
         """Return whether every heartbeat goes to all nodes, without relays."""
         return len(self._peers) < _FULL_MESH_NODES
 
@@ -539,7 +539,7 @@
         answered = self._store_answered_at
         timeout = (
             _READER_TIMEOUT_SECONDS
-            if self.is_small
+            if self.is_full_mesh
             else _RELAYED_READER_TIMEOUT_SECONDS
         )
         return answered is None or now - answered > timeout
@@ -553,7 +553,7 @@
         return self.me.id in [reader.id for reader in readers]
 
     @property
-    def store_seen(self) -> float | None:
+    def store_answered_at(self) -> float | None:
         """Return when the store last answered a node that reads it."""
         return self._store_answered_at
 
--- a/currantwall/transport/domainleases.py
+++ b/currantwall/transport/domainleases.py
@@ -125,7 +125,7 @@
         renewed, and instances are lost all the same. No order may be given
         then, but callers need not be sent to replicas that are not whole.
         """
-        if not one.tracker.is_lapsed(now) or self._presence.is_alone(now):
+        if not one.tracker.is_lapsed(now) or self._presence.is_isolated(now):
             return False
         return self._find_prober(one, now) == self._presence.me.id
 
--- a/currantwall/transport/fleets.py
+++ b/currantwall/transport/fleets.py
@@ -142,7 +142,7 @@
         if newer is not None and self._fetch(newer, now):
             return
         if newer is None:
-            seen = self._presence.store_seen or 0.0
+            seen = self._presence.store_answered_at or 0.0
             self._fleet.updated = max(self._fleet.updated, seen)
         with eventlet.Timeout(_LOOK_INTERVAL, False):
             self._news.wait()
@@ -218,7 +218,7 @@
         if found.failure_age is not None:
             self._history.note_failure(now - found.failure_age)
         self._take_passed_on(found, now)
-        self._changes.note_included(found.changed)
+        self._changes.include_revision(found.changed)
         return True
 
     def _take_passed_on(self, found: ports.Listing, now: float) -> None:
--- a/currantwall/transport/news.py
+++ b/currantwall/transport/news.py
@@ -84,7 +84,7 @@
         self._slow = _drop_past(self._slow, now)
         self._told_loads = self._balancer.list_loads(now)
         self._presence.ready = self.is_ready()
-        self._balancer.are_counts_relayed = not self._presence.is_small
+        self._balancer.are_counts_relayed = not self._presence.is_full_mesh
         own = presence_module.Heartbeat(
             node=self._presence.me,
             serial=serial,
@@ -125,7 +125,7 @@
     def _hear_digest(self, digest: digests.Digest, now: float) -> None:
         if not self._relay.note_digest(digest, now):
             return
-        acting = self._relay.is_acting(now)
+        acting = self._relay.is_active(now)
         if acting and digest.is_part:
             self._balancer.note_loads(digest.node.id, digest.loads, now)
         elif not acting and not digest.is_part:
@@ -158,7 +158,7 @@
         """Have a silent upstream looked at by who probes its domain."""
         self._stalled[instance] = self._now() + _TOLD
         self._duties.suspect(instance)
-        if self._presence.is_small:
+        if self._presence.is_full_mesh:
             self._heartbeats.hurry()
             return
         prober = self._presence.get(self._duties.find_prober(instance))
@@ -173,7 +173,7 @@
         a heartbeat; together they send it half as many again as it bears.
         In a large fleet counts go through relays, which keep their pace.
         """
-        if self._presence.is_small:
+        if self._presence.is_full_mesh:
             self._heartbeats.hurry(_PRESSED_INTERVAL)
 
     def tell_change(self) -> None:
--- a/currantwall/transport/registrations.py
+++ b/currantwall/transport/registrations.py
@@ -58,7 +58,7 @@
             now = self._clock.now()
             reads = self._presence.reads_store(now)
             wait = _NODES_INTERVAL if reads else _NODES_INTERVAL_OTHERS
-            if self._presence.lacks_entries:
+            if self._presence.has_unknown_nodes:
                 wait = _NODES_SOON
             if self._presence.count() == 1 or not self._registered:
                 wait = _LOOK_INTERVAL
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -91,7 +91,7 @@
     Mutant(
         "a node that hears nobody tells losses",
         "currantwall/transport/domainleases.py",
-        "is_lapsed(now) or self._presence.is_alone(now):",
+        "is_lapsed(now) or self._presence.is_isolated(now):",
         "is_lapsed(now):",
         f"{_DUTIES}.ProbeTest.test_a_node_that_hears_nobody_tells_no_losses",
     ),
--- a/tests/test_digests.py
+++ b/tests/test_digests.py
@@ -173,9 +173,9 @@
 
     def test_a_node_that_nobody_lists_is_looked_up(self):
         presence = self.net.nodes["a-30"].presence
-        self.assertFalse(presence.lacks_entries)
+        self.assertFalse(presence.has_unknown_nodes)
         presence.note_relayed_nodes({"a-new": True}, self.net.now)
-        self.assertTrue(presence.lacks_entries)
+        self.assertTrue(presence.has_unknown_nodes)
 
 
 class SmallFleetTest(unittest.TestCase):
