--- a/tests/test_digests.py
+++ b/tests/test_digests.py
@@ -1,7 +1,8 @@
-"""What nodes of a large fleet know of each other.
+"""What the nodes of a large fleet know of each other through digests.
 
-Every node is the real one; the network of `bench.digests` carries the
-datagrams and loses them where a node is dead or cut off.
+The nodes are real `Presence` and `Relay` objects; the simulated network of
+`bench.digests` carries the datagrams and drops those to or from nodes that
+are dead or cut off.
 """
 
 import unittest
@@ -11,13 +12,13 @@
 from bench import digests as network
 from currantwall.coordination.peers import directory
 
-_PLACES = ("a", "b", "c")
+_DATACENTRES = ("a", "b", "c")
 make_entry = network.make_entry
 
 
 class LargeFleetTest(unittest.TestCase):
     def setUp(self):
-        self.net = network.Network(47, _PLACES, 2)
+        self.net = network.Network(47, _DATACENTRES, 2)
         self.net.run(4.0)
 
     def count_ready(self):
@@ -30,7 +31,10 @@
         self.assertEqual(set(self.count_ready()), {140})
 
     def list_outages(self, since):
-        """Return what each node finds that is told of all failures."""
+        """Return the last outage that each node finds.
+
+        Every node is given the failures of all nodes.
+        """
         failures = {
             at
             for node in self.net.nodes.values()
@@ -45,8 +49,8 @@
             found.append(history.find_last_outage(self.net.now))
         return found
 
-    def test_no_node_believes_in_an_outage_that_one_relay_sees(self):
-        """All nodes of a data centre kept instances that had left."""
+    def test_a_refusal_of_one_relay_is_an_outage_to_no_node(self):
+        """Failure: all nodes of a data centre keep instances that left."""
         self.net.refused = set()
         self.net.run(4.0)
         self.net.refused = {self.net.find_relays("a")[0]}
@@ -57,7 +61,7 @@
         self.assertEqual(set(self.list_outages(since)), {None})
 
     def test_every_node_finds_an_outage_and_its_end(self):
-        """Some nodes took every replica apart after an outage."""
+        """Failure: some nodes dissolve every replica after an outage."""
         self.net.refused = set()
         self.net.run(4.0)
         since = self.net.now
@@ -68,15 +72,15 @@
         self.net.run(2.0)
         found = self.list_outages(since)
         self.assertNotIn(None, found)
-        ends = [one.ended - returned for one in found]
+        ends = [outage.ended - returned for outage in found]
         self.assertGreaterEqual(min(ends), 0.0)
         self.assertLessEqual(max(ends), 2 * network.ROUND)
 
     def test_a_node_sends_little_however_large_the_fleet_is(self):
-        """Control would take more of a thin link the larger the fleet is.
+        """Failure: control traffic on a slow link grows with the fleet.
 
-        Load: 141 nodes at rest; of a data centre's two large nodes each
-        passes on what half of the others tell.
+        Load: 141 idle nodes; each of the two large nodes of a data centre
+        relays the heartbeats of half of the others.
         """
         self.net.clear()
         self.net.run(4.0)
@@ -87,20 +91,22 @@
         self.assertEqual(received[len(received) // 2], 20)
 
     def test_the_large_nodes_are_the_relays(self):
-        for place in _PLACES:
-            relays = self.net.find_relays(place)
-            self.assertEqual(set(relays), {f"{place}-0", f"{place}-1"})
+        for datacentre in _DATACENTRES:
+            relays = self.net.find_relays(datacentre)
+            self.assertEqual(
+                set(relays), {f"{datacentre}-0", f"{datacentre}-1"}
+            )
 
     def test_a_node_that_dies_is_soon_known_as_gone(self):
-        """Callers would be sent to a node that is gone."""
+        """Failure: callers are sent to a node that is gone."""
         self.net.dead.add("b-20")
         self.net.run(3.2)
         self.assertEqual(set(self.count_ready()), {139})
 
     def test_the_counts_of_all_nodes_are_added_up_once(self):
-        """A replica would look twice as busy as it is.
+        """Failure: a replica looks twice as busy as it is.
 
-        Each node asks two relays, and both could add up its counts.
+        Each node asks two relays, and both add up its counts.
         """
         for node in self.net.nodes.values():
             node.loads = {"i-1": 1, "i-2": 2}
@@ -109,35 +115,36 @@
             remote = self.net.nodes[name].remote
             self.assertEqual(remote, {"i-1": 141, "i-2": 282})
 
-    def test_news_of_a_loss_reaches_all_at_once(self):
-        """Requests would go on to a replica that lacks a member.
+    def test_a_loss_is_reported_to_all_at_once(self):
+        """Failure: requests still go to a replica that lacks a member.
 
-        One node finds the loss; two relays lie between it and a node of
+        One node detects the loss; two relays lie between it and a node of
         another data centre.
         """
         self.net.nodes["a-30"].lost = ("i-9",)
         self.net.send("a-30")
-        told = [
+        informed = [
             node for node in self.net.list_live() if "i-9" in node.heard_lost
         ]
-        self.assertGreaterEqual(len(told), 140)
+        self.assertGreaterEqual(len(informed), 140)
 
-    def test_news_of_a_slow_replica_reaches_all_at_once(self):
-        """Each node would find it out by a request that stalls."""
+    def test_a_slow_replica_is_reported_to_all_at_once(self):
+        """Failure: each node detects it only by a request that stalls."""
         self.net.nodes["a-30"].slow = ("i-9",)
         self.net.send("a-30")
-        told = [
+        informed = [
             node for node in self.net.list_live() if "i-9" in node.heard_slow
         ]
-        self.assertGreaterEqual(len(told), 140)
+        self.assertGreaterEqual(len(informed), 140)
 
     def test_the_fleet_goes_on_when_all_relays_die_at_once(self):
-        """Nodes would lose sight of each other for good.
+        """Failure: nodes never hear of each other again.
 
-        All six large nodes lose power together; smaller ones follow.
+        All six large nodes lose power together; smaller nodes must become
+        the relays.
         """
-        for place in _PLACES:
-            self.net.dead |= set(self.net.find_relays(place))
+        for datacentre in _DATACENTRES:
+            self.net.dead |= set(self.net.find_relays(datacentre))
         self.net.run(6.0)
         self.assertEqual(set(self.count_ready()), {134})
 
@@ -151,10 +158,10 @@
         self.assertEqual(set(self.count_ready()), {140})
 
     def test_a_relay_whose_clock_went_back_is_heard_again(self):
-        """A data centre would hear no news from its best nodes for good.
+        """Failure: a data centre ignores a relay for good.
 
-        A relay starts again after its time of day went back, so its new
-        process looks older than the one before.
+        The relay restarts after its wall clock went back, so that its new
+        process has a lower incarnation than the one before.
         """
         relay = self.net.nodes["a-0"]
         self.net.dead.add("a-0")
@@ -171,7 +178,7 @@
         self.assertEqual(digest.node.incarnation, 0)
         self.assertLess(self.net.now - at, 1.0)
 
-    def test_a_node_that_nobody_lists_is_looked_up(self):
+    def test_an_unlisted_node_is_reported_as_unknown(self):
         presence = self.net.nodes["a-30"].presence
         self.assertFalse(presence.has_unknown_nodes)
         presence.note_relayed_nodes({"a-new": True}, self.net.now)
@@ -180,7 +187,7 @@
 
 class SmallFleetTest(unittest.TestCase):
     def test_every_heartbeat_goes_to_everyone(self):
-        net = network.Network(4, _PLACES, 0)
+        net = network.Network(4, _DATACENTRES, 0)
         net.run(2.0)
         for node in net.nodes.values():
             self.assertEqual(len(node.presence.list_ready(net.now)), 11)
@@ -196,10 +203,10 @@
                 named[front] = named.get(front, 0) + 1
         return named
 
-    def test_nodes_are_named_by_what_they_can_carry(self):
-        """A thin link would carry as much as one ten times as wide.
+    def test_nodes_are_named_in_proportion_to_capacity(self):
+        """Failure: a slow link carries as much as one ten times as fast.
 
-        Load: callers take one of their addresses at random.
+        Load: callers pick one of their addresses at random.
         """
         nodes = [make_entry(f"s{n}", "a", 0.1) for n in range(50)]
         nodes += [make_entry("large", "a", 1.0)]
@@ -208,21 +215,21 @@
         small = [named[f"s{n}:1"] for n in range(50)]
         self.assertTrue(min(small) > 320 and max(small) < 800)
 
-    def test_a_caller_is_told_the_same_while_the_nodes_stay(self):
-        """A caller would give up its connections with each answer."""
+    def test_a_caller_gets_the_same_addresses_from_the_same_nodes(self):
+        """Failure: a caller closes its connections after each answer."""
         nodes = [make_entry(f"s{n}", "a", 0.1) for n in range(60)]
         first = directory.choose_addresses(nodes, "10.0.0.1")
         self.assertEqual(
             first, directory.choose_addresses(nodes[::-1], "10.0.0.1")
         )
-        without = [one for one in nodes if one.front != first[0]]
+        without = [node for node in nodes if node.front != first[0]]
         second = directory.choose_addresses(without, "10.0.0.1")
         self.assertLessEqual(set(first[1:]), set(second))
 
     def test_no_part_of_a_large_fleet_is_left_out(self):
-        """Half of the nodes would stand idle.
+        """Failure: half of the nodes are idle.
 
-        More nodes than an answer may name, all alike.
+        Load: more nodes than an answer may name, all of equal capacity.
         """
         nodes = [make_entry(f"s{n:03}", "a", 0.5) for n in range(142)]
         named = self.choose(nodes, 400)
--- a/tests/test_outages.py
+++ b/tests/test_outages.py
@@ -1,4 +1,4 @@
-"""Outages of the store, as a node finds them from what is told."""
+"""Outages of the store, as a node derives them from the reports."""
 
 import unittest
 
@@ -40,8 +40,8 @@
         self.note_answers(10.4, 10.9, 11.4, 11.5)
         self.assertIsNone(self.history.find_last_outage(self.now))
 
-    def test_an_answer_that_is_told_of_late_ends_a_wrong_belief(self):
-        """A lost heartbeat would be taken for an outage of seconds."""
+    def test_an_answer_that_is_reported_late_refutes_an_outage(self):
+        """Failure: a lost heartbeat is taken for an outage of seconds."""
         self.note_answers(10.0)
         self.history.note_failure(10.5)
         self.note_answers(11.0)
@@ -50,11 +50,11 @@
         self.assertIsNone(self.history.find_last_outage(self.now))
 
     def test_a_silence_in_which_no_call_failed_is_no_outage(self):
-        """A node that heard nobody for a while would keep who has left."""
+        """Failure: a node that heard no other keeps instances that left."""
         self.note_answers(10.0, 14.0)
         self.assertIsNone(self.history.find_last_outage(self.now))
 
-    def test_an_outage_longer_than_the_memory_is_found(self):
+    def test_an_outage_longer_than_answers_are_kept_is_found(self):
         self.note_answers(10.0)
         for at in range(11, 100):
             self.history.note_failure(float(at))
@@ -62,7 +62,7 @@
         found = self.history.find_last_outage(self.now)
         self.assertEqual(found, outages.Outage(99.0, 100.0))
 
-    def test_the_memory_is_bounded(self):
+    def test_the_history_is_bounded(self):
         for tick in range(10_000):
             self.history.note_answer(tick / 10.0)
             self.history.note_failure(tick / 10.0)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Between the processes: membership, configuration, edits, time line."""
+"""Membership, configuration, edits and the time line across processes."""
 
 import unittest
 
@@ -23,9 +23,11 @@
 from standins import virtual
 from tests import faults
 
-_PLACES = ("a", "b", "c")
+_DATACENTRES = ("a", "b", "c")
 _ENTRIES = {
-    f"{place}{number}": place for place in _PLACES for number in (1, 2, 3, 4)
+    f"{datacentre}{number}": datacentre
+    for datacentre in _DATACENTRES
+    for number in (1, 2, 3, 4)
 }
 _PROFILE = "[profile p]\nmodel = m\nreplicas = 0\nconcurrency = {number}\n"
 
@@ -37,7 +39,7 @@
 
 
 def list_dead(world: virtual.World) -> set[tuple[str, str]]:
-    """Return who holds whom for dead."""
+    """Return pairs of a node and a member that it considers dead."""
     return {
         (name, member.id)
         for name, host in world.hosts.items()
@@ -48,6 +50,7 @@
 
 
 def count_verdicts(world: virtual.World) -> int:
+    """Return how often a node declared a member dead."""
     name = f"{actions.Counter.MEMBER_VERDICTS.value}/dead"
     return sum(host.counts.get(name, 0) for host in world.hosts.values())
 
@@ -62,13 +65,13 @@
     def run_for(self, seconds: float) -> None:
         self.world.run(self.world.now + seconds)
 
-    def test_everybody_knows_everybody(self) -> None:
+    def test_every_node_knows_all_others(self) -> None:
         for host in self.world.hosts.values():
             usable = {member.id for member in host.node.nodes.usable()}
             self.assertEqual(set(_ENTRIES), usable)
 
     def test_dead_member_is_found(self) -> None:
-        # An entry's machine dies. Callers must soon not be sent there.
+        # Failure: callers are sent to an entry whose machine has died.
         self.host("a2").kill()
         self.run_for(8.0)
         for name, host in self.world.hosts.items():
@@ -77,9 +80,9 @@
                 self.assertNotIn("a2", usable)
 
     def test_lost_data_centre_is_left_out_everywhere(self) -> None:
-        # A whole data centre goes dark. Nobody in it is left to find its
-        # members dead; callers elsewhere must not be sent there, and
-        # must be again when it is back.
+        # Failure: a whole data centre fails, no node in it is left to
+        # declare its members dead, and callers elsewhere are sent there.
+        # Its nodes must be usable again after it has recovered.
         for number in (1, 2, 3, 4):
             self.host(f"c{number}").pause()
         self.run_for(15.0)
@@ -92,16 +95,16 @@
         for name in _ENTRIES:
             self.assertEqual(12, len(self.host(name).node.nodes.usable()))
 
-    def test_one_bad_link_condemns_nobody(self) -> None:
-        # The link between two entries is cut; both live and all others
-        # reach them.
+    def test_one_bad_link_causes_no_verdict(self) -> None:
+        # Failure: two entries are alive and all others reach them, but the
+        # link between them is cut and each declares the other dead.
         self.world.cut = lambda a, b: {a, b} == {"a1", "a2"}
         self.run_for(60.0)
         self.assertEqual(0, count_verdicts(self.world))
 
-    def test_paused_prober_condemns_nobody(self) -> None:
-        # An entry stands still for ten seconds, wakes, and finds all its
-        # pings unanswered.
+    def test_paused_prober_declares_nobody_dead(self) -> None:
+        # Failure: an entry resumes after a pause, finds all its pings
+        # unanswered and declares live members dead.
         for _ in range(3):
             self.host("a1").pause()
             self.run_for(0.8)
@@ -110,9 +113,9 @@
         dead = {pair for pair in list_dead(self.world) if pair[1] != "a1"}
         self.assertEqual(set(), dead)
 
-    def test_isolated_node_condemns_nobody(self) -> None:
-        # An entry loses its network. Everybody is silent to it; its
-        # verdicts would spread when the network is back.
+    def test_isolated_node_declares_nobody_dead(self) -> None:
+        # Failure: an entry that has lost its network declares all others
+        # dead, and its verdicts spread when the network recovers.
         self.world.cut = lambda a, b: "a1" in (a, b)
         self.run_for(30.0)
         mine = {pair for pair in list_dead(self.world) if pair[0] == "a1"}
@@ -122,8 +125,8 @@
         self.assertEqual(set(), list_dead(self.world))
 
     def test_partition_heals_without_a_flood(self) -> None:
-        # Two data centres lose each other for two minutes. Nobody over
-        # there is condemned, and the heal costs few messages.
+        # Failure: a data centre is cut off for two minutes and its nodes
+        # are declared dead, or the repair afterwards floods the network.
         self.world.cut = lambda a, b: (
             a in _ENTRIES
             and b in _ENTRIES
@@ -143,7 +146,8 @@
         self.assertLess(healing, 2 * (self.world.sent - before))
 
     def test_restarted_member_is_new(self) -> None:
-        # A member restarts at once, faster than anybody notices.
+        # Failure: a member restarts before its death is detected, and the
+        # others keep its old incarnation.
         before = self.host("b1").node.nodes.me.incarnation
         self.host("b1").kill()
         self.host("b1").restart()
@@ -155,7 +159,7 @@
             self.assertTrue(member.is_usable)
 
     def test_leaving_member_is_left_out_at_once(self) -> None:
-        # An entry is stopped; callers that ask must not be sent there.
+        # Failure: callers are sent to an entry that is being stopped.
         host = self.host("a1")
         host.perform(host.node.leave(self.world.now))
         self.run_for(0.1)
@@ -175,8 +179,9 @@
         self.assertEqual(4, len({entry.node for entry in first}))
 
     def test_message_of_a_past_process_is_dropped(self) -> None:
-        # A message that was queued for a process that died reaches its
-        # successor, or one of a dead sender comes after its successor's.
+        # Failure: a message queued for a process that died reaches its
+        # successor, or a dead sender's message arrives after its
+        # successor's.
         self.host("a2").kill()
         self.host("a2").restart()
         self.run_for(8.0)
@@ -195,8 +200,8 @@
             self.assertIsNone(opened)
 
     def test_delayed_message_shows_its_age(self) -> None:
-        # Evidence lies in a queue for ten seconds; it must not look
-        # fresh when it comes.
+        # Failure: evidence that was queued for ten seconds looks recent on
+        # arrival.
         opener = links.Links(views.MembersView(self.host("a1").node.nodes.me))
 
         def open_at(sent: float, now: float) -> float:
@@ -249,9 +254,9 @@
         self.assertLess(self.world.now - started, 1.0)
         self.assertEqual(dict.fromkeys(_ENTRIES, 7), self.list_values())
 
-    def test_edit_names_who_has_it_not(self) -> None:
-        # A data centre is cut off while an operator edits. He must not
-        # be told that all is well.
+    def test_edit_names_the_nodes_that_lack_it(self) -> None:
+        # Failure: a data centre is cut off, and an operator's edit is
+        # nevertheless reported as accepted everywhere.
         self.world.cut = lambda a, b: (
             (_ENTRIES.get(a) == "c" and _ENTRIES.get(b) != "c")
             or (_ENTRIES.get(b) == "c" and _ENTRIES.get(a) != "c")
@@ -265,9 +270,9 @@
         self.assertEqual(dict.fromkeys(_ENTRIES, 3), self.list_values())
 
     def test_edit_with_dead_entries_is_accepted_in_time(self) -> None:
-        # Two entries have just died, one of them in another data centre.
-        # The edit must not wait until everybody has got round to pinging
-        # them: whoever does not acknowledge is probed at once.
+        # Failure: two entries have just died, one of them in another data
+        # centre, and an edit waits until they are pinged in turn. Nodes
+        # that do not acknowledge an edit must be probed at once.
         self.host("a3").kill()
         self.host("c2").kill()
         started = self.world.now
@@ -277,7 +282,8 @@
         self.assertLess(self.world.now - started, 3.0)
 
     def test_racing_edits_get_one_conflict(self) -> None:
-        # Two operators edit at the same moment from the same version.
+        # Failure: two operators edit the same version at the same time,
+        # and both edits are accepted.
         self.edit("a1", 1)
         for name, number, ticket in (("a2", 5, 71), ("c2", 6, 72)):
             wanted = sites.parse(_PROFILE.format(number=number))
@@ -292,8 +298,8 @@
         self.assertEqual(1, len(set(self.list_values().values())))
 
     def test_lost_answer_is_not_a_conflict(self) -> None:
-        # The write took effect, its answer was lost. Telling "conflict"
-        # would make the operator do it again.
+        # Failure: a write took effect but its answer was lost, and a
+        # reported conflict makes the operator repeat the edit.
         self.world.platform.lose = 1.0
         reply = self.edit("a1", 9)
         self.world.platform.lose = 0.0
@@ -310,8 +316,8 @@
         self.assertEqual(edits.EditOutcome.NOT_STORED, reply.outcome)
 
     def test_older_version_never_returns(self) -> None:
-        # An event, a push or a stale read of the platform brings an
-        # older version after a newer one was in force.
+        # Failure: an event, a push or a stale read of the platform
+        # replaces the version in force by an older one.
         self.edit("a1", 1)
         self.edit("a1", 2)
         key = objects.ObjectKey(objects.Kind.PROFILES.value, "p")
@@ -328,8 +334,8 @@
     def test_starting_node_takes_the_newest_of_platform_and_peers(
         self,
     ) -> None:
-        # A node restarts while the platform is down. It must not serve
-        # by nothing: its peers know the profile.
+        # Failure: a node that restarts while the platform is down serves
+        # without the profile, although its peers have it.
         self.edit("a1", 4)
         self.world.platform.down = True
         self.host("b3").kill()
@@ -339,8 +345,8 @@
         self.assertEqual(4, self.list_values()["b3"])
 
     def test_missed_push_is_repaired(self) -> None:
-        # All messages are lost while an edit spreads and the watchers
-        # miss its event; the digests find it out.
+        # Failure: all messages are lost while an edit spreads and the
+        # watchers miss its event. Anti-entropy by digests must repair it.
         self.world.link_loss = 1.0
         self.edit("a1", 8)
         self.world.link_loss = 0.0
@@ -348,8 +354,8 @@
         self.assertEqual(dict.fromkeys(_ENTRIES, 8), self.list_values())
 
     def test_deleted_object_stays_deleted(self) -> None:
-        # A profile is deleted; a node that missed it must not bring it
-        # back through the repair.
+        # Failure: a node that missed the deletion of a profile brings it
+        # back through anti-entropy.
         self.edit("a1", 5)
         self.host("c4").pause()
         key = objects.ObjectKey(objects.Kind.PROFILES.value, "p")
@@ -363,7 +369,7 @@
 
 
 class AnyFaults(stateful.RuleBasedStateMachine):
-    """Versions never fall; views agree once the network heals."""
+    """Versions never fall; views agree after the network has recovered."""
 
     names = st.sampled_from(sorted(_ENTRIES))
     waits = st.sampled_from((0.2, 1.0, 5.0))
@@ -381,10 +387,10 @@
     def check_versions(self) -> None:
         key = objects.ObjectKey(objects.Kind.PROFILES.value, "p")
         for name, host in self.world.hosts.items():
-            place = (name, host.node.nodes.me.incarnation)
+            process = (name, host.node.nodes.me.incarnation)
             version = host.node.view.version(key)
-            assert version >= self.highest.get(place, 0)
-            self.highest[place] = version
+            assert version >= self.highest.get(process, 0)
+            self.highest[process] = version
 
     @stateful.rule(name=names, seconds=waits)
     def edit(self, name: str, seconds: float) -> None:
@@ -406,18 +412,19 @@
 
     @stateful.rule(
         loss=st.sampled_from((0.0, 0.2, 0.9)),
-        place=st.sampled_from(("", *_PLACES)),
+        datacentre=st.sampled_from(("", *_DATACENTRES)),
         down=st.booleans(),
         seconds=waits,
     )
     def change_network(
-        self, loss: float, place: str, down: bool, seconds: float
+        self, loss: float, datacentre: str, down: bool, seconds: float
     ) -> None:
         self.world.link_loss = loss
         self.world.platform.down = down
         self.world.cut = lambda a, b: (
-            bool(place)
-            and (_ENTRIES.get(a) == place) != (_ENTRIES.get(b) == place)
+            bool(datacentre)
+            and (_ENTRIES.get(a) == datacentre)
+            != (_ENTRIES.get(b) == datacentre)
         )
         self.pass_time(seconds)
 
@@ -435,7 +442,7 @@
             (host.node.nodes.digests(), host.node.view.digests())
             for host in self.world.hosts.values()
         }
-        assert len(views_) == 1, "the views differ after the heal"
+        assert len(views_) == 1, "the views differ after the recovery"
         assert list_dead(self.world) == set()
 
 
@@ -447,8 +454,8 @@
 
 class WireTest(unittest.TestCase):
     def test_wrong_key_is_refused(self) -> None:
-        # Somebody on the network sends messages without the key, or
-        # changes one on the way.
+        # Failure: a message is accepted that was sent without the key or
+        # modified in transit.
         envelope = wire.Envelope(
             sender=ids.NodeId("a"),
             incarnation=ids.Incarnation(1),
@@ -462,7 +469,7 @@
         self.assertTrue(codec.Codec("right").decode(changed).is_err())
 
     @given(st.binary(max_size=200))
-    def test_any_bytes_are_taken(self, data: bytes) -> None:
+    def test_arbitrary_bytes_are_refused(self, data: bytes) -> None:
         self.assertTrue(codec.Codec("k").decode(data).is_err())
 
 
@@ -471,8 +478,8 @@
     def test_effects_never_come_before_their_causes(
         self, steps: list[tuple[int, bool]]
     ) -> None:
-        # Two processes whose wall clocks differ send each other
-        # messages; the merged time line must keep the order.
+        # Failure: the wall clocks of two processes differ, and the merged
+        # time line shows a message's receipt before its send.
         clocks = (timeline.HybridClock(), timeline.HybridClock())
         skews = (0, 1_000_000)
         wall = 0
@@ -502,18 +509,19 @@
 
 
 class ListTest(unittest.TestCase):
-    def test_lagging_list_does_not_bring_back_what_is_gone(self) -> None:
-        # Two reads of the instance list come in the wrong order.
+    def test_stale_list_does_not_restore_a_removed_instance(self) -> None:
+        # Failure: two reads of the instance list arrive in the wrong
+        # order, and the older one brings back an instance that is gone.
         world = sites.make_site({"a1": "a"}, ())
         sites.add_service(world, "s1", "sizing", "a")
         world.run(5.0)
         view = world.hosts[ids.NodeId("a1")].node.view
         self.assertIn("s1", view.instances)
-        line = view.instances["s1"]
-        self.assertIs(instances.InstanceKind.SERVICE, line.kind)
+        instance = view.instances["s1"]
+        self.assertIs(instances.InstanceKind.SERVICE, instance.kind)
         world.unlist_instance(ids.InstanceId("s1"))
         world.run(world.now + 3.0)
         self.assertNotIn("s1", view.instances)
         key = objects.ObjectKey(objects.Kind.INSTANCES.value, "s1")
-        old = objects.Stored(key, ids.Version(1), objects.encode(line))
+        old = objects.Stored(key, ids.Version(1), objects.encode(instance))
         self.assertFalse(view.apply(old))
