--- a/currantwall/coordination/peers/membership.py
+++ b/currantwall/coordination/peers/membership.py
@@ -117,7 +117,7 @@
 
     def leave(self) -> list[part.Action]:
         """Announce that this node is stopping."""
-        return self._restate(members.MemberState.LEAVING)
+        return self._announce_state(members.MemberState.LEAVING)
 
     # -- Time
 
@@ -237,6 +237,7 @@
         )
 
     def _check_probes(self, now: float) -> list[part.Action]:
+        """Probe indirectly after one timeout, and suspect after three."""
         result: list[part.Action] = []
         timeout = self._settings.probe_timeout
         for serial, probe in list(self._probes.items()):
@@ -621,7 +622,7 @@
         self._queue_gossip(raised)
         return [actions.Count(actions.Counter.MEMBER_VERDICTS, "refuted")]
 
-    def _restate(self, state: members.MemberState) -> list[part.Action]:
+    def _announce_state(self, state: members.MemberState) -> list[part.Action]:
         """Announce another state of this node at once."""
         me = self._view.me
         raised = msgspec.structs.replace(me, serial=me.serial + 1, state=state)
--- a/currantwall/coordination/peers/presence.py
+++ b/currantwall/coordination/peers/presence.py
@@ -54,7 +54,7 @@
 # duty.
 _PREFERRED_CAPACITY_RATIO = 0.5
 # Number of nodes that read the store for all others, in each data centre and
-# in all of them; more would only repeat the same reads.
+# in all data centres together; more would only repeat the same reads.
 _READERS_PER_DATACENTRE = 2
 _READERS_IN_ALL = 6
 # Time since a reader's last answer from the store after which a node reads
@@ -325,7 +325,7 @@
         )
 
     def list_direct(self, now: float) -> list[Heartbeat]:
-        """Return the last heartbeats of live nodes, where not relayed."""
+        """Return the last heartbeat of each live node that sent one here."""
         return [
             peer.heartbeat
             for peer in self._peers.values()
@@ -367,7 +367,7 @@
         return peer.ready and self._is_alive(peer, now)
 
     def is_isolated(self, now: float) -> bool:
-        """Return whether no other node is alive and ready.
+        """Return whether other nodes are known but none is alive and ready.
 
         This node is then more likely cut off than the last one alive.
         """
@@ -465,7 +465,7 @@
         datacentre: ids.DatacentreName,
         now: float,
     ) -> list[NodeEntry]:
-        """Return the relays, and a live node if none of them is alive."""
+        """Return the relays, and other nodes if none of them is alive."""
         ranked = self._rank_peers(datacentre)
         peers = [peer for peer in ranked if peer is not self._own_peer]
         live = [peer for peer in peers if self._is_alive(peer, now)]
