--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -91,7 +91,7 @@
     Mutant(
         "a node that hears nobody tells losses",
         "currantwall/transport/domainleases.py",
-        "is_lapsed(now) or self._presence.is_alone(now):",
+        "is_lapsed(now) or self._presence.is_isolated(now):",
         "is_lapsed(now):",
         f"{_DUTIES}.ProbeTest.test_a_node_that_hears_nobody_tells_no_losses",
     ),
@@ -242,7 +242,7 @@
     Mutant(
         "counts of a node added up by both its relays",
         f"{_COORDINATION}/peers/digests.py",
-        "            if told.asks is Asks.RELAY:\n",
+        "            if heartbeat.asks is RelayRequest.FULL:\n",
         "            if True:\n",
         f"{_DIGESTS}.LargeFleetTest"
         ".test_the_counts_of_all_nodes_are_added_up_once",
@@ -250,9 +250,9 @@
     Mutant(
         "silent nodes never asked to relay",
         f"{_COORDINATION}/peers/presence.py",
-        "        if self._is_heard(peer, now) or peer.asked is None:\n"
+        "        if self._is_alive(peer, now) or peer.asked_since is None:\n"
         "            return True\n",
-        "        return self._is_heard(peer, now)\n",
+        "        return self._is_alive(peer, now)\n",
         f"{_DIGESTS}.LargeFleetTest"
         ".test_the_fleet_goes_on_when_all_relays_die_at_once",
     ),
@@ -281,7 +281,7 @@
     Mutant(
         "a refusal taken for an outage by who was refused",
         f"{_COORDINATION}/peers/outages.py",
-        "            if until - began > _SHORTEST_OUTAGE:\n",
+        "            if until - began > _MIN_OUTAGE_SECONDS:\n",
         "            if until - began > 0.0:\n",
         f"{_FEEDS}.FleetFeedTest"
         ".test_who_leaves_is_dropped_after_this_node_was_turned_away",
@@ -297,7 +297,7 @@
     Mutant(
         "a refusal taken for an outage by who was told",
         f"{_COORDINATION}/peers/outages.py",
-        "            if until - began > _SHORTEST_OUTAGE:\n",
+        "            if until - began > _MIN_OUTAGE_SECONDS:\n",
         "            if until - began > 0.0:\n",
         f"{_FEEDS}.FollowerTest"
         ".test_who_leaves_is_dropped_after_a_reader_was_cut_off",
