--- a/currantwall/coordination/replicas/knowledge.py
+++ b/currantwall/coordination/replicas/knowledge.py
@@ -246,7 +246,7 @@
         known = self.instances.get(instance)
         return known.upstream if known else None
 
-    def list_companions(
+    def list_replica_members(
         self, instance: ids.InstanceId
     ) -> list[ids.InstanceId]:
         """Return the members of an instance's replica, itself included."""
--- a/currantwall/transport/duties.py
+++ b/currantwall/transport/duties.py
@@ -266,7 +266,7 @@
             leader = one.planner.knowledge.find(instance)
             if leader is None:
                 continue
-            for name in one.planner.knowledge.list_companions(instance):
+            for name in one.planner.knowledge.list_replica_members(instance):
                 self._probe(one, name, now)
 
     def _probe_members(self, one: _Domain, now: float) -> None:
@@ -420,7 +420,7 @@
         one: _Domain, instance: ids.InstanceId
     ) -> upstreams.Upstream | None:
         """Return the leader of an instance's replica, if it is open."""
-        for name in one.planner.knowledge.list_companions(instance):
+        for name in one.planner.knowledge.list_replica_members(instance):
             member = one.planner.knowledge.find(name)
             if member is not None and member.seat is not None:
                 leads = member.seat.rank == 0
