--- a/currantwall/coordination/replicas/knowledge.py
+++ b/currantwall/coordination/replicas/knowledge.py
@@ -19,7 +19,7 @@
     "Order",
     "OrderAnswer",
     "OrderKind",
-    "Reach",
+    "ProbeResult",
 ]
 
 Phase = upstreams.Phase
@@ -79,7 +79,7 @@
     detail: str = ""
 
 
-class Reach(enum.Enum):
+class ProbeResult(enum.Enum):
     """How an instance answered its last probe."""
 
     ANSWERED = "answered"
@@ -187,13 +187,15 @@
         if known.staging in known.upstream.staged:
             known.staging = ""
 
-    def note_failure(self, instance: ids.InstanceId, reach: Reach) -> bool:
+    def note_failure(
+        self, instance: ids.InstanceId, result: ProbeResult
+    ) -> bool:
         """Take note of a failed probe; return whether that is a loss."""
         known = self.instances.get(instance)
         if known is None:
             return False
         before = known.is_alive
-        if reach is Reach.REFUSED:
+        if result is ProbeResult.REFUSED:
             known.refused = True
         else:
             known.missed += 1
--- a/currantwall/transport/duties.py
+++ b/currantwall/transport/duties.py
@@ -366,7 +366,7 @@
             one.probing.discard(upstream.id)
         self._meter.add("currantwall.probes", 1)
         now = self._clock.now()
-        if isinstance(found, knowledge.Reach):
+        if isinstance(found, knowledge.ProbeResult):
             known = one.planner.knowledge.instances.get(upstream.id)
             if known is not None and not known.missed:
                 # A first miss is checked at once, a later one in its turn.
--- a/currantwall/transport/ports.py
+++ b/currantwall/transport/ports.py
@@ -111,7 +111,7 @@
 
     def report(
         self, upstream: upstreams.Upstream, fresh: bool
-    ) -> upstreams.Upstream | knowledge.Reach:
+    ) -> upstreams.Upstream | knowledge.ProbeResult:
         """Return what an instance says of itself, or how it failed.
 
         Args:
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -269,7 +269,7 @@
         self.connections.give_back.assert_called_once()
         self.connections.give_back.reset_mock()
         found = self.report(False, side_effect=TimeoutError())
-        self.assertIs(found, knowledge.Reach.SILENT)
+        self.assertIs(found, knowledge.ProbeResult.SILENT)
         self.connections.give_back.assert_not_called()
 
     def test_a_pace_that_cannot_be_read_loses_no_report(self):
@@ -282,7 +282,7 @@
     def test_an_address_that_another_server_has_counts_as_gone(self):
         other = client.Answer(421, b"", 0.0)
         found = self.report(False, return_value=other)
-        self.assertIs(found, knowledge.Reach.REFUSED)
+        self.assertIs(found, knowledge.ProbeResult.REFUSED)
 
 
 if __name__ == "__main__":
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -198,7 +198,7 @@
 
     def report(self, upstream, fresh):
         if self.silent:
-            return knowledge.Reach.SILENT
+            return knowledge.ProbeResult.SILENT
         return msgspec.structs.replace(
             upstream, sequence=self.sequence, pace=self.pace
         )
--- a/tests/test_formation.py
+++ b/tests/test_formation.py
@@ -219,13 +219,13 @@
             engine = self.world.engines[name]
             if engine.refusing:
                 self.planner.knowledge.note_failure(
-                    name, knowledge.Reach.REFUSED
+                    name, knowledge.ProbeResult.REFUSED
                 )
             elif engine.up:
                 self.planner.knowledge.note_report(engine.describe(), self.now)
             else:
                 self.planner.knowledge.note_failure(
-                    name, knowledge.Reach.SILENT
+                    name, knowledge.ProbeResult.SILENT
                 )
         orders = self.planner.plan(
             self.now,
@@ -250,7 +250,7 @@
         """Probe an instance as after a stall: twice without an answer."""
         for _ in range(2):
             self.planner.knowledge.note_failure(
-                victim.id, knowledge.Reach.SILENT
+                victim.id, knowledge.ProbeResult.SILENT
             )
 
     def count_open(self):
@@ -335,7 +335,7 @@
                 session.replace_planner()
             else:
                 session.planner.knowledge.note_failure(
-                    leader.id, knowledge.Reach.REFUSED
+                    leader.id, knowledge.ProbeResult.REFUSED
                 )
             session.run(2.0)
             self.assertEqual(session.world.broken, [])
