--- a/currantwall/coordination/replicas/layout.py
+++ b/currantwall/coordination/replicas/layout.py
@@ -1,14 +1,14 @@
-"""Which models the instances of a fabric domain are meant for.
+"""Decides which models the instances of a fabric domain are meant for.
 
-The load it answers: a replica takes many instances of one domain, and
-what is left over serves nobody. A domain of eleven that keeps to a model
-of six holds one replica and five spares, while that model is short
-everywhere; with a replica of three beside it, all domains together hold
-half as many again of the larger model.
+A replica takes many instances of one domain, and the instances left over
+serve no requests. With a single model per domain, a domain of eleven whose
+model takes six holds one replica and five spares, although that model is
+short in all domains. With a replica of three beside it, all domains
+together hold half as many again of the larger model.
 
-One model a domain has an advantage too: every survivor of a loss fits
-every other one. Domains are therefore mixed only where that gives clearly
-more to the model that is shortest.
+On the other hand, with a single model per domain all survivors of a loss
+can form a replica together. Domains are therefore mixed only if that
+clearly raises the coverage of the scarcest model.
 """
 
 from collections import abc
@@ -20,22 +20,23 @@
 
 __all__ = ["Layout", "choose_mix", "count_wanted"]
 
-# Instances of a domain that are left for losses.
-_SPARES_LEAST = 1
-# How much more of the shortest model makes up for survivors of which not
-# all fit each other.
-_GAIN = 1.2
-# Instances of a domain up to which all mixes are looked at.
-_LARGEST = 256
+# Instances of a domain to keep as spares for losses.
+_MIN_SPARES = 1
+# Factor by which a mix must raise the coverage of the scarcest model, since
+# not all survivors of a loss can then form a replica together.
+_MIN_COVERAGE_GAIN = 1.2
+# Instances of a domain up to which all mixes are compared.
+_MAX_MIX_INSTANCES = 256
 
 
 class Layout(msgspec.Struct, frozen=True):
-    """What the instances of a domain are meant for.
+    """Which models the instances of a domain are meant for.
 
     Attributes:
-        main: Model of the domain; the only one where it is not mixed.
-        replicas: Replicas of each model where it is mixed, else empty.
-        size: Most instances that the domain has had.
+        main: Main model of the domain; the only one unless it is mixed.
+        replicas: Number of replicas of each model if the domain is mixed,
+            else empty.
+        size: Largest number of instances that the domain has had.
     """
 
     main: str
@@ -48,75 +49,79 @@
     sizes: abc.Mapping[ids.DomainName, int],
     mains: abc.Mapping[ids.DomainName, str],
 ) -> dict[str, int]:
-    """Return the replicas of each model in a mixed domain, empty for none.
+    """Return the replicas of each model in a mixed domain, or nothing.
 
-    The same mix for all domains, worked out for their mean size: single
-    instances come and go, and what a domain is meant for must not change
-    with them.
+    All domains get the same mix, chosen for their mean size: it must not
+    change when single instances come and go.
 
     Args:
         engine: Models with their expected shares of the work.
-        sizes: Instances of each domain.
-        mains: Model of each domain where none is mixed.
+        sizes: Number of instances of each domain.
+        mains: Model of each domain if none is mixed.
     """
     if len(engine.models) < 2 or not sizes:
         return {}
-    mean = min(round(sum(sizes.values()) / len(sizes)), _LARGEST)
-    pure = dict.fromkeys((one.name for one in engine.models), 0.0)
+    mean_size = min(
+        round(sum(sizes.values()) / len(sizes)), _MAX_MIX_INSTANCES
+    )
+    unmixed = dict.fromkeys((model.name for model in engine.models), 0.0)
     for name in sizes:
         model = engine.find(mains.get(name, ""))
         if model is not None:
-            pure[model.name] += (mean - _SPARES_LEAST) // model.size
-    best: dict[str, int] = {}
-    most = _GAIN * _measure_cover(engine, pure)
-    for mix in _list_mixes(engine.models, mean - _SPARES_LEAST):
-        whole = {name: count * len(sizes) for name, count in mix.items()}
-        cover = _measure_cover(engine, whole)
-        if cover > most:
-            best, most = mix, cover
-    return best
+            unmixed[model.name] += (mean_size - _MIN_SPARES) // model.size
+    best_mix: dict[str, int] = {}
+    best_coverage = _MIN_COVERAGE_GAIN * _measure_coverage(engine, unmixed)
+    for mix in _list_mixes(engine.models, mean_size - _MIN_SPARES):
+        total = {name: count * len(sizes) for name, count in mix.items()}
+        coverage = _measure_coverage(engine, total)
+        if coverage > best_coverage:
+            best_mix, best_coverage = mix, coverage
+    return best_mix
 
 
 def _list_mixes(
-    models: tuple[routes.Model, ...], room: int
+    models: tuple[routes.Model, ...], instances: int
 ) -> abc.Iterator[dict[str, int]]:
-    """Yield the replicas of each model that fit, one at least of each."""
+    """Yield each mix that fits, with at least one replica of each model."""
     first, rest = models[0], models[1:]
-    for count in range(1, room // first.size + 1):
-        left = room - count * first.size
+    for count in range(1, instances // first.size + 1):
+        remaining = instances - count * first.size
         if not rest:
             yield {first.name: count}
             continue
-        for others in _list_mixes(rest, left):
+        for others in _list_mixes(rest, remaining):
             yield {first.name: count, **others}
 
 
-def _measure_cover(
+def _measure_coverage(
     engine: routes.Engine, replicas: abc.Mapping[str, float]
 ) -> float:
-    """Return how well the model that is shortest is covered.
+    """Return the coverage of the scarcest model.
 
-    A model's share is of the work, which all instances of a replica do.
+    Here it is counted in instances of the model's replicas per expected
+    share of the work, since all instances of a replica do that work.
     """
     return min(
-        replicas.get(one.name, 0) * one.size / max(one.share, 0.01)
-        for one in engine.models
+        replicas.get(model.name, 0) * model.size / max(model.share, 0.01)
+        for model in engine.models
     )
 
 
 def count_wanted(
     engine: routes.Engine, replicas: abc.Mapping[str, int], usable: int
 ) -> dict[str, int]:
-    """Return the instances of each model in a mixed domain.
+    """Return how many instances of a mixed domain each model should have.
 
-    What its replicas take, and the spares in turn, the largest replicas
-    first: they lose most members.
+    Each model gets the members of its replicas. Spares are then given out
+    in turn, first to the model with the most instances, which loses the most
+    members.
     """
     found = {
-        one.name: replicas.get(one.name, 0) * one.size for one in engine.models
+        model.name: replicas.get(model.name, 0) * model.size
+        for model in engine.models
     }
-    mixed = [one for one in engine.models if replicas.get(one.name)]
-    mixed.sort(key=lambda one: -found[one.name])
+    mixed = [model for model in engine.models if replicas.get(model.name)]
+    mixed.sort(key=lambda model: -found[model.name])
     spares = usable - sum(found.values())
     for turn in range(max(spares, 0)):
         found[mixed[turn % len(mixed)].name] += 1
--- a/currantwall/coordination/replicas/supply.py
+++ b/currantwall/coordination/replicas/supply.py
@@ -1,4 +1,4 @@
-"""The whole replicas of each model, by the list of instances."""
+"""Counts the whole replicas of each model from the list of instances."""
 
 import collections
 
@@ -9,7 +9,10 @@
 
 
 class Supply:
-    """The whole replicas of each model, counted once for each list."""
+    """Counts the whole replicas of each model.
+
+    Counts are reused until any instance changes.
+    """
 
     def __init__(self, fleet: upstreams.Fleet) -> None:
         self._fleet = fleet
@@ -21,7 +24,7 @@
     def count_elsewhere(
         self, service: ids.ServiceName, domain: ids.DomainName
     ) -> dict[str, int]:
-        """Return the whole replicas of each model outside a domain."""
+        """Return how many whole replicas each model has outside a domain."""
         if self._generation != self._fleet.generation:
             self._generation = self._fleet.generation
             self._counts.clear()
@@ -32,7 +35,7 @@
                 if replica.is_whole
             )
         found: dict[str, int] = {}
-        for (model, place), count in self._counts[service].items():
-            if place != domain:
+        for (model, replica_domain), count in self._counts[service].items():
+            if replica_domain != domain:
                 found[model] = found.get(model, 0) + count
         return found
