--- a/currantwall/coordination/replicas/formation.py
+++ b/currantwall/coordination/replicas/formation.py
@@ -1,19 +1,22 @@
-"""Which instances of one fabric domain form which replicas.
+"""Plans which instances of one fabric domain form which replicas.
 
-`Planner` is told what the instances report and returns orders. It keeps
-no ledger: an instance itself says which seat it has, so whoever takes
-over the domain goes on from the reports and leaves open replicas alone.
+`Planner` is given the instances' reports and returns orders. It stores no
+assignments: each instance reports its own seat, so a new holder of the
+domain continues from the reports and leaves open replicas alone.
 
-All instances of a domain are loaded with one model where it can be: then
-any of them can join any other at once, and a loss costs no load.
+Where possible, all instances of a domain are loaded with one model: any
+of them can then join any other at once, and replacing a lost instance
+needs no load of weights.
 
-Three rules keep a replica whole:
+Three rules keep each replica consistent:
 
-* An instance is free only when the leader of its replica can't be open:
-  the leader left it, is broken, is gone, or never was opened.
+* An instance that has a seat may join another replica only when the
+  leader of its present one can't be open: the leader has left it, is
+  broken or was never opened. Otherwise the instance must leave first.
 * Each order names the sequence number that the instance must have. An
-  order that is carried out late finds another number and does nothing.
-* Epochs rise with each join, so that no join of the past can succeed.
+  order that arrives late finds another number and has no effect.
+* Each join has a higher epoch than the one before, so that an old join
+  can't succeed.
 """
 
 from collections import abc
@@ -34,30 +37,32 @@
 
 Phase = upstreams.Phase
 
-# Seconds an order may stay without effect before another one is sent: a
-# report is 0.2 s old, and the answer takes one round trip.
-_PENDING = 0.7
-# Seconds that the joins of one replica may take to show up, beyond which
-# an incomplete replica is dissolved. Covers a predecessor's orders.
-_ASSEMBLE = 1.0
-# Seconds beyond the model's own warm-up that joining may take.
-_JOIN_SLACK = 1.5
-# Seconds a leader with a leaving member may finish its work.
-_CLOSE_WAIT = 2.0
-# Replicas of the past that are remembered.
-_REMEMBERED = 1024
+# Seconds without a visible effect after which an order is followed by
+# another one: a report is 0.2 s old, and the answer takes one round trip.
+_ORDER_RETRY_SECONDS = 0.7
+# Seconds until all joins of a replica must show in the reports; after that
+# an incomplete replica is dissolved. Long enough for orders that an earlier
+# holder of the domain has sent.
+_ASSEMBLY_SECONDS = 1.0
+# Seconds that joining may take beyond the model's warm-up time.
+_JOIN_SLACK_SECONDS = 1.5
+# Seconds for which a leader with a leaving member may finish its requests.
+_CLOSE_SECONDS = 2.0
+# Past replicas to remember.
+_HISTORY_LIMIT = 1024
 
 
 class Demand(msgspec.Struct, frozen=True):
-    """What one model needs and has, over the whole service.
+    """Demand for one model in the whole service, and supply elsewhere.
 
     Attributes:
-        busy: Requests in work or waiting; or the model's expected share of
-            them.
-        replicas: Replicas that serve or are about to, in other domains.
+        requests: Requests running or waiting, plus the model's share of
+            those that are expected while there are few.
+        replicas: Whole replicas of the model in other domains, open or
+            about to be.
     """
 
-    busy: float
+    requests: float
     replicas: int
 
 
@@ -68,44 +73,51 @@
         self._name = name
         self._engine = engine
         self.knowledge = knowledge.Knowledge()
-        self._known = self.knowledge.instances
-        # First sight of each replica phase that must not last.
-        self._since: dict[tuple[str, int, str], float] = {}
-        # Who led each replica; tells that a leader has left it.
+        self._records = self.knowledge.instances
+        # When a condition of a replica, such as "joining", was first seen,
+        # by replica, epoch and condition.
+        self._first_seen: dict[tuple[str, int, str], float] = {}
+        # Last known leader of each replica, by replica and epoch; shows
+        # whether a replica without a leader was left by it.
         self._leaders: dict[tuple[str, int], ids.InstanceId] = {}
         self._epoch = 0
         self._layout = layout_module.Layout("")
-        self._busy = True
+        self._has_traffic = True
 
     @property
     def engine(self) -> routes.Engine:
-        """Return what the instances have in common."""
+        """Return the properties that all instances share."""
         return self._engine
 
-    # -- What is known
+    # -- Known state
 
-    def list_probes(self, now: float, steady: float) -> list[ids.InstanceId]:
-        """Return the instances whose report is wanted now.
+    def list_probes(
+        self, now: float, steady_interval: float
+    ) -> list[ids.InstanceId]:
+        """Return the instances to probe now.
 
         Args:
             now: Monotonic time.
-            steady: Seconds between two reports of an instance whose
-                replica is whole and open.
+            steady_interval: Seconds between two probes of an instance that
+                is in an open replica or otherwise unlikely to change.
         """
-        settled = self._list_settled()
+        steady_instances = self._list_steady()
         found = []
-        for name, known in self._known.items():
-            calm = name in settled and not known.missed
-            calm = calm and not known.unsettled
-            wait = steady if calm else 0.0
-            due = now - known.seen >= wait and now >= known.quiet_until
-            unclear = known.missed or known.differs
-            if due or unclear or known.upstream.sequence is None:
+        for name, record in self._records.items():
+            is_steady = name in steady_instances and not record.missed
+            is_steady = is_steady and not record.is_unconfirmed
+            interval = steady_interval if is_steady else 0.0
+            is_due = (
+                now - record.reported_at >= interval
+                and now >= record.skip_probes_until
+            )
+            is_unclear = record.missed or record.contradicts_list
+            if is_due or is_unclear or record.upstream.sequence is None:
                 found.append(name)
         return found
 
     def count_replicas(self) -> dict[str, int]:
-        """Return the replicas of each model that serve or soon will."""
+        """Return how many replicas of each model serve or soon will."""
         found: dict[str, int] = {}
         for replica in self._list_replicas():
             if self._is_intact(replica) and not self._is_spare(replica):
@@ -113,51 +125,64 @@
         return found
 
     def describe(self) -> dict[str, str]:
-        """Return the state of the domain in words, for the log."""
+        """Return the state of replicas and idle instances, for the log."""
         found: dict[str, str] = {}
         for replica in self._list_replicas():
             parts = []
-            for one in replica.members:
-                known = self._known[one.id]
-                mark = "" if known.is_usable else "!"
-                phase = one.seat.phase.value if one.seat else "?"
+            for member in replica.members:
+                record = self._records[member.id]
+                mark = "" if record.is_usable else "!"
+                phase = member.seat.phase.value if member.seat else "?"
                 parts.append(f"{mark}{phase}")
             key = f"{replica.id}@{replica.epoch}"
             found[key] = f"{len(parts)}/{replica.size} {' '.join(parts)}"
-        idle = [one for one in self._known.values() if not one.upstream.seat]
-        for known in idle:
-            staged = ",".join(known.upstream.staged) or "blank"
-            mark = "" if known.is_usable else "!"
-            state = f"loads {known.staging}" if known.staging else staged
-            found[known.upstream.id] = f"{mark}{state}"
+        idle = [
+            record
+            for record in self._records.values()
+            if not record.upstream.seat
+        ]
+        for record in idle:
+            staged = ",".join(record.upstream.staged) or "blank"
+            mark = "" if record.is_usable else "!"
+            state = (
+                f"loads {record.staging_model}"
+                if record.staging_model
+                else staged
+            )
+            found[record.upstream.id] = f"{mark}{state}"
         return found
 
-    def _list_settled(self) -> set[ids.InstanceId]:
-        """Return members of open replicas and of those kept as spares."""
-        settled = set()
+    def _list_steady(self) -> set[ids.InstanceId]:
+        """Return the instances whose state isn't about to change.
+
+        These are members of open replicas, warmed-up spares, ready members
+        that wait for their leader to be opened, and instances that load
+        weights.
+        """
+        found = set()
         for replica in self._list_replicas():
             if not self._is_intact(replica):
                 continue
             leader = replica.leader
-            spare = self._is_spare(replica)
-            wanted = Phase.READY if spare else Phase.OPEN
+            is_spare = self._is_spare(replica)
+            steady_phase = Phase.READY if is_spare else Phase.OPEN
             if leader is None or leader.seat is None:
                 continue
-            if leader.seat.phase is wanted:
-                settled.update(one.id for one in replica.members)
+            if leader.seat.phase is steady_phase:
+                found.update(member.id for member in replica.members)
             elif leader.seat.phase is Phase.READY:
-                # It only waits to be opened: the others don't change.
-                settled.update(
-                    one.id
-                    for one in replica.members[1:]
-                    if one.seat and one.seat.phase is Phase.READY
+                # Only the leader is about to change: it is to be opened.
+                found.update(
+                    member.id
+                    for member in replica.members[1:]
+                    if member.seat and member.seat.phase is Phase.READY
                 )
-        for name, known in self._known.items():
-            if known.staging:
-                settled.add(name)
-        return settled
+        for name, record in self._records.items():
+            if record.staging_model:
+                found.add(name)
+        return found
 
-    # -- The plan
+    # -- Planning
 
     def plan(
         self,
@@ -165,395 +190,444 @@
         fence: int,
         layout: layout_module.Layout,
         demands: abc.Mapping[str, Demand],
-        loads: int = 1000,
-        busy: bool = True,
+        allowed_loads: int = 1000,
+        has_traffic: bool = True,
     ) -> list[knowledge.Order]:
-        """Return the orders that are due.
+        """Return the orders to send now.
 
         Args:
             now: Monotonic time.
-            fence: Number that rises with each holder of the domain;
-                epochs of joins begin there.
-            layout: What this domain is meant for.
-            demands: Need and supply of each model by name.
-            loads: Loads of weights that may start now.
-            busy: Whether requests have come.
+            fence: Fencing number, which rises with each holder of the
+                domain; the epochs of its joins start there.
+            layout: Which models the domain's instances are meant for.
+            demands: Demand and supply elsewhere, by model.
+            allowed_loads: Number of loads of weights that may start now.
+            has_traffic: Whether any request has come yet.
         """
         self._layout = layout
-        self._busy = busy
-        seen = max(
+        self._has_traffic = has_traffic
+        highest = max(
             (
-                known.upstream.seat.epoch
-                for known in self._known.values()
-                if known.upstream.seat
+                record.upstream.seat.epoch
+                for record in self._records.values()
+                if record.upstream.seat
             ),
             default=0,
         )
-        self._epoch = max(self._epoch, fence, seen)
-        for known in self._known.values():
-            if known.staging and now >= known.staging_until:
-                known.staging = ""
+        self._epoch = max(self._epoch, fence, highest)
+        for record in self._records.values():
+            if record.staging_model and now >= record.staging_until:
+                record.staging_model = ""
         orders: list[knowledge.Order] = []
-        kept: set[ids.InstanceId] = set()
+        assigned: set[ids.InstanceId] = set()
         for replica in self._list_replicas():
             if self._is_spare(replica):
                 continue
-            if self._is_intact(replica) and not self._is_overdue(replica, now):
-                kept.update(one.id for one in replica.members)
-                orders += self._open(replica, now)
+            if self._is_intact(replica) and not self._has_failed(replica, now):
+                assigned.update(member.id for member in replica.members)
+                orders += self._plan_open(replica, now)
             else:
-                kept.update(one.id for one in replica.members)
-                freed, more = self._dissolve(replica, now)
-                kept -= freed
+                assigned.update(member.id for member in replica.members)
+                freed, more = self._plan_dissolution(replica, now)
+                assigned -= freed
                 orders += more
         free = [
-            known
-            for name, known in self._known.items()
-            if name not in kept
-            and known.is_usable
-            and known.upstream.sequence is not None
-            and known.pending_until <= now
+            record
+            for name, record in self._records.items()
+            if name not in assigned
+            and record.is_usable
+            and record.upstream.sequence is not None
+            and record.pending_until <= now
         ]
-        orders += self._form(free, demands, loads, now)
+        orders += self._plan_free_instances(free, demands, allowed_loads, now)
         for order in orders:
-            self._known[order.instance].pending_until = now + _PENDING
+            self._records[order.instance].pending_until = (
+                now + _ORDER_RETRY_SECONDS
+            )
         return orders
 
     def _list_replicas(self) -> list[upstreams.Replica]:
+        """Return the domain's replicas, and note who leads each."""
         found = upstreams.list_replicas(
-            known.upstream for known in self._known.values()
+            record.upstream for record in self._records.values()
         )
         for replica in found:
             if replica.leader is not None:
                 key = (replica.id, replica.epoch)
                 self._leaders[key] = replica.leader.id
-        while len(self._leaders) > _REMEMBERED:
+        while len(self._leaders) > _HISTORY_LIMIT:
             del self._leaders[next(iter(self._leaders))]
         return found
 
     def _is_spare(self, replica: upstreams.Replica) -> bool:
-        """Return whether it is one instance kept warm on its own."""
+        """Return whether it is a single instance kept warmed up."""
         model = self._engine.find(replica.model)
         return model is not None and replica.size != model.size
 
     def _is_intact(self, replica: upstreams.Replica) -> bool:
-        ranks = [one.seat.rank for one in replica.members if one.seat]
+        """Return whether every rank is there and every member usable."""
+        ranks = [member.seat.rank for member in replica.members if member.seat]
         if ranks != list(range(replica.size)):
             return False
-        return all(self._known[one.id].is_usable for one in replica.members)
+        return all(
+            self._records[member.id].is_usable for member in replica.members
+        )
 
-    def _is_overdue(self, replica: upstreams.Replica, now: float) -> bool:
-        """Return whether a replica is broken or joins for too long."""
-        phases = {one.seat.phase for one in replica.members if one.seat}
+    def _has_failed(self, replica: upstreams.Replica, now: float) -> bool:
+        """Return whether a member is broken or joining takes too long."""
+        phases = {
+            member.seat.phase for member in replica.members if member.seat
+        }
         if Phase.BROKEN in phases:
             return True
         if Phase.JOINING not in phases:
             return False
         model = self._engine.find(replica.model)
-        warm = model.warm if model else 0.0
-        return self._lasts(replica, "joining", now) > warm + _JOIN_SLACK
+        warm_up = model.warm if model else 0.0
+        return (
+            self._measure_duration(replica, "joining", now)
+            > warm_up + _JOIN_SLACK_SECONDS
+        )
 
-    def _lasts(
-        self, replica: upstreams.Replica, what: str, now: float
+    def _measure_duration(
+        self, replica: upstreams.Replica, condition: str, now: float
     ) -> float:
-        """Return for how long something is known of a replica."""
-        if len(self._since) > _REMEMBERED:
-            self._since.clear()
-        first = self._since.setdefault((replica.id, replica.epoch, what), now)
+        """Return the seconds since a replica's condition was first seen."""
+        if len(self._first_seen) > _HISTORY_LIMIT:
+            self._first_seen.clear()
+        first = self._first_seen.setdefault(
+            (replica.id, replica.epoch, condition), now
+        )
         return now - first
 
     def _is_pending(self, instance: ids.InstanceId, now: float) -> bool:
-        return self._known[instance].pending_until > now
+        """Return whether an earlier order may still take effect."""
+        return self._records[instance].pending_until > now
 
-    def _may_order(self, one: upstreams.Upstream, now: float) -> bool:
+    def _can_order(self, upstream: upstreams.Upstream, now: float) -> bool:
         """Return whether an instance can be sent an order now."""
-        return one.sequence is not None and not self._is_pending(one.id, now)
+        return upstream.sequence is not None and not self._is_pending(
+            upstream.id, now
+        )
 
-    def _open(
+    def _plan_open(
         self, replica: upstreams.Replica, now: float
     ) -> list[knowledge.Order]:
-        """Return the order that lets a replica serve, if it is time."""
+        """Return the order to open a replica, once all are ready."""
         if any(
-            one.seat is None or one.seat.phase is not Phase.READY
-            for one in replica.members
+            member.seat is None or member.seat.phase is not Phase.READY
+            for member in replica.members
         ):
             return []
         leader = replica.members[0]
-        if not self._may_order(leader, now):
+        if not self._can_order(leader, now):
             return []
-        return [self._order(leader, knowledge.OrderKind.OPEN)]
+        return [self._create_seat_order(leader, knowledge.OrderKind.OPEN)]
 
-    def _dissolve(
+    def _plan_dissolution(
         self, replica: upstreams.Replica, now: float
     ) -> tuple[set[ids.InstanceId], list[knowledge.Order]]:
-        """Return the members that are free, and orders that free others.
+        """Return the members that are free, and orders to free others.
 
-        Failure: a survivor joins another replica while its old leader
-        still takes requests, so that it is in two at once. The leader
-        must have left first, be broken, or be certainly gone.
+        The leader must have left first, be broken or never have been
+        opened. Otherwise a survivor would join another replica while its
+        old leader still takes requests, and be part of two at once.
         """
         leader = replica.leader
-        everyone = {one.id for one in replica.members}
+        all_members = {member.id for member in replica.members}
         if leader is None or leader.seat is None:
-            return self._dissolve_without_leader(replica, now)
+            return self._plan_leaderless_dissolution(replica, now)
         phase = leader.seat.phase
-        known = self._known[leader.id]
+        record = self._records[leader.id]
         if phase is Phase.BROKEN:
-            return everyone, []
-        if known.is_gone or known.is_silent:
-            # It may be cut off from here alone and still take requests, or
-            # have stopped listening and still be ending its work.
-            return set(), self._leave(replica.members[1:], now)
+            return all_members, []
+        if record.is_refusing or record.is_silent:
+            # It may be unreachable only from here and still take requests,
+            # or have stopped listening and still finish its requests.
+            return set(), self._plan_leaves(replica.members[1:], now)
         if phase is Phase.JOINING:
-            waits = self._is_assembling(replica, now)
-            return (set() if waits else everyone), []
-        if self._may_finish(replica, now):
-            return set(), self._close(leader, phase, now)
-        return set(), self._leave((leader,), now)
+            is_assembling = self._is_assembling(replica, now)
+            return (set() if is_assembling else all_members), []
+        if self._may_finish_requests(replica, now):
+            return set(), self._plan_close(leader, phase, now)
+        return set(), self._plan_leaves((leader,), now)
 
-    def _dissolve_without_leader(
+    def _plan_leaderless_dissolution(
         self, replica: upstreams.Replica, now: float
     ) -> tuple[set[ids.InstanceId], list[knowledge.Order]]:
-        if self._has_left_leader(replica):
-            return {one.id for one in replica.members}, []
+        """Return the same for a replica none of whose members leads it."""
+        if self._has_leader_left(replica):
+            return {member.id for member in replica.members}, []
         if self._is_assembling(replica, now):
             return set(), []
-        return set(), self._leave(replica.members, now)
+        return set(), self._plan_leaves(replica.members, now)
 
     def _is_assembling(self, replica: upstreams.Replica, now: float) -> bool:
-        """Return whether joins of a replica may still be on their way."""
-        if self._is_overdue(replica, now):
+        """Return whether joins of a replica may still be under way."""
+        if self._has_failed(replica, now):
             return False
-        return self._lasts(replica, "incomplete", now) < _ASSEMBLE
+        return (
+            self._measure_duration(replica, "incomplete", now)
+            < _ASSEMBLY_SECONDS
+        )
 
-    def _close(
+    def _plan_close(
         self, leader: upstreams.Upstream, phase: upstreams.Phase, now: float
     ) -> list[knowledge.Order]:
-        """Return the next order of a planned end."""
-        if phase is Phase.CLOSING or not self._may_order(leader, now):
+        """Return the next order to end a replica that may finish."""
+        if phase is Phase.CLOSING or not self._can_order(leader, now):
             return []
-        closed = phase is Phase.READY
+        is_closed = phase is Phase.READY
         kind = (
-            knowledge.OrderKind.LEAVE if closed else knowledge.OrderKind.CLOSE
+            knowledge.OrderKind.LEAVE
+            if is_closed
+            else knowledge.OrderKind.CLOSE
         )
-        return [self._order(leader, kind)]
+        return [self._create_seat_order(leader, kind)]
 
-    def _has_left_leader(self, replica: upstreams.Replica) -> bool:
-        """Return whether the leader is known to have another seat now."""
+    def _has_leader_left(self, replica: upstreams.Replica) -> bool:
+        """Return whether the last known leader has left the replica."""
         name = self._leaders.get((replica.id, replica.epoch))
-        known = self._known.get(name) if name else None
-        return known is not None and known.is_alive
+        record = self._records.get(name) if name else None
+        return record is not None and record.is_alive
 
-    def _may_finish(self, replica: upstreams.Replica, now: float) -> bool:
-        """Return whether only a planned stop takes a member away."""
-        ranks = [one.seat.rank for one in replica.members if one.seat]
+    def _may_finish_requests(
+        self, replica: upstreams.Replica, now: float
+    ) -> bool:
+        """Return whether a replica may finish its requests.
+
+        It may for a limited time, as long as all members are alive: then
+        only a planned stop takes a member away.
+        """
+        ranks = [member.seat.rank for member in replica.members if member.seat]
         if ranks != list(range(replica.size)):
             return False
-        if not all(self._known[one.id].is_alive for one in replica.members):
+        if not all(
+            self._records[member.id].is_alive for member in replica.members
+        ):
             return False
-        return self._lasts(replica, "closing", now) < _CLOSE_WAIT
+        return self._measure_duration(replica, "closing", now) < _CLOSE_SECONDS
 
-    def _leave(
+    def _plan_leaves(
         self, members: abc.Iterable[upstreams.Upstream], now: float
     ) -> list[knowledge.Order]:
+        """Return leave orders for the members that can be ordered."""
         return [
-            self._order(one, knowledge.OrderKind.LEAVE)
-            for one in members
-            if self._known[one.id].is_alive and self._may_order(one, now)
+            self._create_seat_order(member, knowledge.OrderKind.LEAVE)
+            for member in members
+            if self._records[member.id].is_alive
+            and self._can_order(member, now)
         ]
 
-    def _order(
-        self, one: upstreams.Upstream, kind: knowledge.OrderKind
+    def _create_seat_order(
+        self, member: upstreams.Upstream, kind: knowledge.OrderKind
     ) -> knowledge.Order:
-        """Return an order about the seat an instance has."""
-        seat = one.seat
+        """Return an order that concerns a member's present seat."""
+        seat = member.seat
         assert seat is not None
         return knowledge.Order(
-            instance=one.id,
-            address=one.address,
+            instance=member.id,
+            address=member.address,
             kind=kind,
-            sequence=one.sequence,
+            sequence=member.sequence,
             replica=seat.replica,
             epoch=seat.epoch,
         )
 
     # -- Forming and staging
 
-    def _form(
+    def _plan_free_instances(
         self,
-        free: list[knowledge.Known],
+        free: list[knowledge.InstanceRecord],
         demands: abc.Mapping[str, Demand],
-        loads: int,
+        allowed_loads: int,
         now: float,
     ) -> list[knowledge.Order]:
-        """Return the joins and loads for the free instances."""
+        """Return the joins and loads for the free instances.
+
+        Instances that are left over join a replica of one, which warms them
+        up as spares.
+        """
         orders: list[knowledge.Order] = []
-        rest: dict[str, list[knowledge.Known]] = {"": []}
+        unassigned: dict[str, list[knowledge.InstanceRecord]] = {"": []}
         formed: dict[str, int] = {}
         for model in self._engine.models:
-            rest[model.name] = []
-        for known in free:
-            rest[self._staged_model(known)].append(known)
+            unassigned[model.name] = []
+        for record in free:
+            unassigned[self._find_staged_model(record)].append(record)
         for model in self._engine.models:
-            group = rest[model.name]
-            group.sort(key=lambda known: not self._is_hot(known, model.name))
-            while len(group) >= model.size:
-                chosen, group = group[: model.size], group[model.size :]
+            candidates = unassigned[model.name]
+            candidates.sort(
+                key=lambda record: not self._is_warmed_up(record, model.name)
+            )
+            while len(candidates) >= model.size:
+                chosen, candidates = (
+                    candidates[: model.size],
+                    candidates[model.size :],
+                )
                 formed[model.name] = formed.get(model.name, 0) + 1
-                orders += self._join(model, [one.upstream for one in chosen])
-            rest[model.name] = group
-        orders += self._stage(rest, formed, demands, loads, now)
-        staged = {order.instance for order in orders}
+                orders += self._plan_joins(
+                    model, [record.upstream for record in chosen]
+                )
+            unassigned[model.name] = candidates
+        orders += self._plan_loads(
+            unassigned, formed, demands, allowed_loads, now
+        )
+        ordered = {order.instance for order in orders}
         for model in self._engine.models:
-            for known in rest[model.name]:
-                if known.upstream.id in staged or known.staging:
+            for record in unassigned[model.name]:
+                if record.upstream.id in ordered or record.staging_model:
                     continue
-                if not self._is_hot(known, model.name):
-                    orders += self._join(model, [known.upstream])
+                if not self._is_warmed_up(record, model.name):
+                    orders += self._plan_joins(model, [record.upstream])
         return orders
 
-    def _staged_model(self, known: knowledge.Known) -> str:
-        """Return the model that an instance can join at once."""
+    def _find_staged_model(self, record: knowledge.InstanceRecord) -> str:
+        """Return the first model whose weights are on the host, or empty."""
         for model in self._engine.models:
-            if model.name in known.upstream.staged:
+            if model.name in record.upstream.staged:
                 return model.name
         return ""
 
     @staticmethod
-    def _is_hot(known: knowledge.Known, model: str) -> bool:
-        """Return whether its last replica was of the model.
+    def _is_warmed_up(record: knowledge.InstanceRecord, model: str) -> bool:
+        """Return whether an instance's last replica was of the model.
 
-        Such an instance joins in 0.2 s, any other one that has the
-        weights on its host in 1.1 to 1.6 s.
+        Such an instance joins another one in 0.2 s; any other that has the
+        weights on its host takes 1.1 to 1.6 s.
         """
-        seat = known.upstream.seat
+        seat = record.upstream.seat
         if seat is None:
             return False
         parsed = upstreams.parse_name(seat.replica)
         return parsed is not None and parsed[0] == model
 
-    def _join(
+    def _plan_joins(
         self, model: routes.Model, members: list[upstreams.Upstream]
     ) -> list[knowledge.Order]:
+        """Return the joins that form a replica under a new epoch."""
         self._epoch += 1
         token = f"{self._name}-{self._epoch}"
         name = upstreams.name_replica(model.name, len(members), token)
-        listed = tuple(one.id for one in members)
+        member_ids = tuple(member.id for member in members)
         return [
             knowledge.Order(
-                instance=one.id,
-                address=one.address,
+                instance=member.id,
+                address=member.address,
                 kind=knowledge.OrderKind.JOIN,
-                sequence=one.sequence,
+                sequence=member.sequence,
                 model=model.name,
                 replica=name,
                 epoch=self._epoch,
-                members=listed,
-                lasts=self._expect_join(one, model),
+                members=member_ids,
+                min_duration=self._estimate_join_seconds(member, model),
             )
-            for one in members
+            for member in members
         ]
 
-    def _expect_join(
-        self, one: upstreams.Upstream, model: routes.Model
+    def _estimate_join_seconds(
+        self, upstream: upstreams.Upstream, model: routes.Model
     ) -> float:
         """Return the seconds that a join takes at least.
 
-        Only one that has never joined in its life is sure to take long:
-        it has accepted a load at most.
+        Only an instance that hasn't joined since its start surely needs the
+        whole warm-up: it has accepted one order at most, a load.
         """
-        new = one.seat is None and (one.sequence or 0) <= 1
-        return model.warm if new else 0.0
+        is_first = upstream.seat is None and (upstream.sequence or 0) <= 1
+        return model.warm if is_first else 0.0
 
-    def _stage(
+    def _plan_loads(
         self,
-        rest: dict[str, list[knowledge.Known]],
+        unassigned: dict[str, list[knowledge.InstanceRecord]],
         formed: dict[str, int],
         demands: abc.Mapping[str, Demand],
-        allowed: int,
+        allowed_loads: int,
         now: float,
     ) -> list[knowledge.Order]:
         """Return the loads of weights for instances that cannot join."""
         layout = self._layout
         main = self._engine.find(layout.main) or self._engine.models[0]
-        held = self._count_held()
+        staged = self._count_staged()
         wanted = {}
         if layout.replicas:
-            usable = sum(one.is_usable for one in self._known.values())
+            usable = sum(record.is_usable for record in self._records.values())
             wanted = layout_module.count_wanted(
                 self._engine, layout.replicas, usable
             )
-        stock = staging.Stock(
+        inventory = staging.DomainInventory(
             main=main,
             blank=tuple(
-                known.upstream.id
-                for known in rest[""]
-                if not known.staging and not known.upstream.busy
+                record.upstream.id
+                for record in unassigned[""]
+                if not record.staging_model and not record.upstream.busy
             ),
             idle={
                 model.name: tuple(
-                    known.upstream.id for known in rest[model.name]
+                    record.upstream.id for record in unassigned[model.name]
                 )
                 for model in self._engine.models
             },
-            usable=sum(known.is_usable for known in self._known.values()),
+            usable=sum(record.is_usable for record in self._records.values()),
             size=layout.size,
-            cover=self._measure_cover(rest, formed, demands),
+            coverage=self._measure_coverage(unassigned, formed, demands),
             loading=any(
-                known.staging or known.upstream.busy
-                for known in self._known.values()
+                record.staging_model or record.upstream.busy
+                for record in self._records.values()
             ),
-            busy=self._busy,
+            has_traffic=self._has_traffic,
             formed=self.count_replicas(),
             wanted=wanted,
-            held=held,
+            staged=staged,
         )
-        loads = staging.choose_loads(self._engine, stock)
-        return [self._load(one, now) for one in loads[:allowed]]
+        loads = staging.choose_loads(self._engine, inventory)
+        return [self._order_load(load, now) for load in loads[:allowed_loads]]
 
-    def _count_held(self) -> dict[str, int]:
-        """Return the usable instances that have or load each model."""
+    def _count_staged(self) -> dict[str, int]:
+        """Return how many usable instances have or load each model."""
         found: dict[str, int] = {}
-        for known in self._known.values():
-            name = known.staging or self._staged_model(known)
-            if name and known.is_usable:
+        for record in self._records.values():
+            name = record.staging_model or self._find_staged_model(record)
+            if name and record.is_usable:
                 found[name] = found.get(name, 0) + 1
         return found
 
-    def _measure_cover(
+    def _measure_coverage(
         self,
-        rest: dict[str, list[knowledge.Known]],
+        unassigned: dict[str, list[knowledge.InstanceRecord]],
         formed: dict[str, int],
         demands: abc.Mapping[str, Demand],
     ) -> dict[str, float]:
-        """Return the slots of each model for each request in work."""
+        """Return the slots of each model per request running or waiting."""
         own = self.count_replicas()
         loading: dict[str, int] = {}
-        for known in self._known.values():
-            if known.staging and known.is_usable:
-                loading[known.staging] = loading.get(known.staging, 0) + 1
+        for record in self._records.values():
+            if record.staging_model and record.is_usable:
+                loading[record.staging_model] = (
+                    loading.get(record.staging_model, 0) + 1
+                )
         found = {}
         for model in self._engine.models:
             demand = demands.get(model.name, Demand(model.share, 0))
-            waiting = len(rest[model.name]) + loading.get(model.name, 0)
+            idle = len(unassigned[model.name]) + loading.get(model.name, 0)
             replicas = (
                 demand.replicas
                 + own.get(model.name, 0)
                 + formed.get(model.name, 0)
-                + waiting // model.size
+                + idle // model.size
             )
-            busy = max(demand.busy, 0.01)
-            found[model.name] = replicas * self._engine.slots / busy
+            requests = max(demand.requests, 0.01)
+            found[model.name] = replicas * self._engine.slots / requests
         return found
 
-    def _load(self, load: staging.Load, now: float) -> knowledge.Order:
-        known = self._known[load.instance]
-        known.staging = load.model.name
-        known.staging_until = now + 3 * load.model.load
+    def _order_load(self, load: staging.Load, now: float) -> knowledge.Order:
+        """Return the order for a load, and note it in the record."""
+        record = self._records[load.instance]
+        record.staging_model = load.model.name
+        record.staging_until = now + 3 * load.model.load
         return knowledge.Order(
-            instance=known.upstream.id,
-            address=known.upstream.address,
+            instance=record.upstream.id,
+            address=record.upstream.address,
             kind=knowledge.OrderKind.STAGE,
-            sequence=known.upstream.sequence,
+            sequence=record.upstream.sequence,
             model=load.model.name,
         )
--- a/currantwall/coordination/replicas/knowledge.py
+++ b/currantwall/coordination/replicas/knowledge.py
@@ -1,8 +1,8 @@
-"""What the holder of a fabric domain knows of its instances.
+"""What the holder of a fabric domain knows about its instances.
 
-It comes from three sides: the list of registered instances, which lags;
-the instances' own reports, 0.2 s old; and the answers to orders, whose
-effect is taken for granted until a report shows it.
+There are three sources: the list of registered instances, which lags
+behind; the instances' own reports, which are 0.2 s old; and the answers to
+orders, whose effect is assumed until a report shows it.
 """
 
 from collections import abc
@@ -14,8 +14,8 @@
 from currantwall.state import upstreams
 
 __all__ = [
+    "InstanceRecord",
     "Knowledge",
-    "Known",
     "Order",
     "OrderAnswer",
     "OrderKind",
@@ -24,21 +24,22 @@
 
 Phase = upstreams.Phase
 
-# Seconds for which a report may be older than an accepted order.
-_SETTLE = 1.0
-# Seconds before the expected end of a join at which it is asked for.
-_EARLY = 0.1
-# Seconds until the state of an instance that refused an order is known.
-_ASK_AGAIN = 0.25
-# Failed probes in a row after which an instance counts as silent.
-_SILENT_PROBES = 2
-# Seconds since the last report after which a list that says otherwise has
-# an instance probed at once; before, the list is the older of the two.
-_DIFFERING = 0.5
+# Seconds after an accepted order in which a report may still be older than
+# the order.
+_STALE_REPORT_SECONDS = 1.0
+# Seconds before the earliest end of a join at which probes start again.
+_PROBE_LEAD_SECONDS = 0.1
+# Seconds after a refused order until a probe has shown the instance's state.
+_REPROBE_SECONDS = 0.25
+# Consecutive missed probes after which an instance counts as silent.
+_MISSED_PROBES_LIMIT = 2
+# Seconds by which the list may lag behind a report: only if the report is
+# older does a list that contradicts it cause a probe at once.
+_LIST_LAG_SECONDS = 0.5
 
 
 class OrderKind(enum.Enum):
-    """What an engine instance is told to do."""
+    """Operation that an engine instance is ordered to carry out."""
 
     JOIN = "join"
     OPEN = "open"
@@ -51,9 +52,9 @@
     """One order to one instance.
 
     Attributes:
-        sequence: Orders the instance must have accepted so far; it
-            refuses if that differs.
-        lasts: Seconds until its effect is complete.
+        sequence: Number of orders that the instance must have accepted so
+            far; it refuses the order if its own number differs.
+        min_duration: Seconds that carrying it out takes at least.
     """
 
     instance: ids.InstanceId
@@ -64,15 +65,15 @@
     replica: ids.ReplicaId = ids.ReplicaId("")
     epoch: int = 0
     members: tuple[ids.InstanceId, ...] = ()
-    lasts: float = 0.0
+    min_duration: float = 0.0
 
 
 class OrderAnswer(msgspec.Struct, frozen=True):
     """How an instance answered an order.
 
     Attributes:
-        accepted: None where no answer came: it may be carried out yet.
-        detail: What it said, for the log.
+        accepted: None without an answer: the order may still take effect.
+        detail: Text of the answer or error, for the log.
     """
 
     accepted: bool | None
@@ -80,154 +81,177 @@
 
 
 class ProbeResult(enum.Enum):
-    """How an instance answered its last probe."""
+    """Whether and how an instance answered a probe."""
 
     ANSWERED = "answered"
     SILENT = "silent"
-    # Nothing listens there, or another instance does.
+    # Nothing listens at the address, or another instance does.
     REFUSED = "refused"
 
 
-class Known:
-    """What the planner knows of one instance."""
+class InstanceRecord:
+    """What the planner knows about one instance."""
 
     def __init__(self, upstream: upstreams.Upstream, now: float) -> None:
         self.upstream = upstream
         self.listed = True
+        # Probes without an answer since the last report.
         self.missed = 0
+        # Whether a probe was refused since the last report.
         self.refused = False
-        self.seen = now
+        # Monotonic time of the last report; moved back after an order.
+        self.reported_at = now
+        # Time before which no further order is sent.
         self.pending_until = 0.0
-        # Until when reports of before the last accepted order may come.
-        self.settles_at = 0.0
-        # Until when a load ordered here keeps the instance from joining.
-        self.staging = ""
+        # Time until which a report may be older than the last accepted
+        # order.
+        self.stale_reports_until = 0.0
+        # Model whose weights an order is loading here, or empty. The
+        # instance joins no replica meanwhile, at most until the given time.
+        self.staging_model = ""
         self.staging_until = 0.0
         # Whether an order was sent whose effect no report has shown yet.
-        self.unsettled = False
-        # Whether the list says otherwise than its last report: a load has
-        # ended, or a report was missed.
-        self.differs = False
-        # Until when an accepted order is certainly not complete.
-        self.quiet_until = 0.0
+        self.is_unconfirmed = False
+        # Whether the list contradicts the last report: a load has ended, or
+        # a report was missed.
+        self.contradicts_list = False
+        # Time before which the last accepted order can't be complete, so
+        # that a probe would show nothing new.
+        self.skip_probes_until = 0.0
 
     @property
     def is_silent(self) -> bool:
-        """Return whether it has left several probes unanswered."""
-        return self.missed >= _SILENT_PROBES
+        """Return whether several probes in a row got no answer."""
+        return self.missed >= _MISSED_PROBES_LIMIT
 
     @property
-    def is_gone(self) -> bool:
-        """Return whether the process has certainly ended."""
+    def is_refusing(self) -> bool:
+        """Return whether it refuses probes.
+
+        Its process has ended, or no longer listens but may still finish its
+        requests, or another instance has its address.
+        """
         return self.refused
 
     @property
     def is_alive(self) -> bool:
-        """Return whether it answers and is registered."""
+        """Return whether it is registered and answers probes."""
         return (
-            self.listed and not self.refused and self.missed < _SILENT_PROBES
+            self.listed
+            and not self.refused
+            and self.missed < _MISSED_PROBES_LIMIT
         )
 
     @property
     def is_usable(self) -> bool:
-        """Return whether a replica may be built with it."""
+        """Return whether a replica may be formed with it."""
         return self.is_alive and not self.upstream.leaving
 
 
 class Knowledge:
-    """The instances of one domain."""
+    """The records of the instances of one domain."""
 
     def __init__(self) -> None:
-        self.instances: dict[ids.InstanceId, Known] = {}
+        self.instances: dict[ids.InstanceId, InstanceRecord] = {}
 
     def note_list(
         self, listed: abc.Iterable[upstreams.Upstream], now: float
     ) -> None:
-        """Take note of the registered instances of this domain."""
-        present = set()
-        for one in listed:
-            present.add(one.id)
-            known = self.instances.get(one.id)
-            if known is None:
-                self.instances[one.id] = Known(one, now)
+        """Process the list of registered instances of this domain."""
+        listed_ids = set()
+        for upstream in listed:
+            listed_ids.add(upstream.id)
+            record = self.instances.get(upstream.id)
+            if record is None:
+                self.instances[upstream.id] = InstanceRecord(upstream, now)
                 continue
-            known.listed = True
-            known.differs = now - known.seen > _DIFFERING and (
-                one.seat != known.upstream.seat
-                or one.staged != known.upstream.staged
+            record.listed = True
+            record.contradicts_list = (
+                now - record.reported_at > _LIST_LAG_SECONDS
+                and (
+                    upstream.seat != record.upstream.seat
+                    or upstream.staged != record.upstream.staged
+                )
             )
-            if one.born > known.upstream.born:
-                known.refused = False
-                known.missed = 0
-            known.upstream = _merge(known.upstream, one)
-        for name, known in list(self.instances.items()):
-            if name in present:
+            if upstream.born > record.upstream.born:
+                record.refused = False
+                record.missed = 0
+            record.upstream = _merge_listed(record.upstream, upstream)
+        for name, record in list(self.instances.items()):
+            if name in listed_ids:
                 continue
-            known.listed = False
-            if known.refused or known.missed >= _SILENT_PROBES:
+            record.listed = False
+            if record.refused or record.missed >= _MISSED_PROBES_LIMIT:
                 del self.instances[name]
 
     def note_report(self, reported: upstreams.Upstream, now: float) -> None:
-        """Take note of what an instance says of itself."""
-        known = self.instances.get(reported.id)
-        if known is None:
+        """Process an instance's report of its own state."""
+        record = self.instances.get(reported.id)
+        if record is None:
             return
-        known.missed = 0
-        known.refused = False
-        known.seen = now
-        known.differs = False
-        if now < known.settles_at and _is_behind(reported, known.upstream):
+        record.missed = 0
+        record.refused = False
+        record.reported_at = now
+        record.contradicts_list = False
+        if now < record.stale_reports_until and _is_stale(
+            reported, record.upstream
+        ):
             return
-        if reported.sequence != known.upstream.sequence:
-            known.pending_until = 0.0
-        known.unsettled = False
-        if reported.born >= known.upstream.born:
-            leaving = known.upstream.leaving
-            known.upstream = msgspec.structs.replace(reported, leaving=leaving)
-        if known.staging in known.upstream.staged:
-            known.staging = ""
+        if reported.sequence != record.upstream.sequence:
+            record.pending_until = 0.0
+        record.is_unconfirmed = False
+        if reported.born >= record.upstream.born:
+            leaving = record.upstream.leaving
+            record.upstream = msgspec.structs.replace(
+                reported, leaving=leaving
+            )
+        if record.staging_model in record.upstream.staged:
+            record.staging_model = ""
 
     def note_failure(
         self, instance: ids.InstanceId, result: ProbeResult
     ) -> bool:
-        """Take note of a failed probe; return whether that is a loss."""
-        known = self.instances.get(instance)
-        if known is None:
+        """Process a failed probe; return whether the instance is now lost."""
+        record = self.instances.get(instance)
+        if record is None:
             return False
-        before = known.is_alive
+        was_alive = record.is_alive
         if result is ProbeResult.REFUSED:
-            known.refused = True
+            record.refused = True
         else:
-            known.missed += 1
-        return before and not known.is_alive
+            record.missed += 1
+        return was_alive and not record.is_alive
 
     def note_answer(
         self, order: Order, accepted: bool | None, now: float
     ) -> None:
-        """Take note of the answer to an order; None if there was none."""
-        known = self.instances.get(order.instance)
-        if known is None:
+        """Process the answer to an order; None if there was none."""
+        record = self.instances.get(order.instance)
+        if record is None:
             return
         if accepted:
-            self._assume(known, order, now)
+            self._assume_effect(record, order, now)
         elif accepted is False:
-            # Its state is not what was thought: ask before the next one.
-            known.pending_until = now + _ASK_AGAIN
+            # Its state differs from this record: probe it before the next
+            # order.
+            record.pending_until = now + _REPROBE_SECONDS
             if order.kind is OrderKind.STAGE:
-                known.staging = ""
-        known.seen = min(known.seen, now - _ASK_AGAIN)
-        known.unsettled = True
+                record.staging_model = ""
+        record.reported_at = min(record.reported_at, now - _REPROBE_SECONDS)
+        record.is_unconfirmed = True
 
-    def _assume(self, known: Known, order: Order, now: float) -> None:
-        """Take the effect of an accepted order for granted.
+    def _assume_effect(
+        self, record: InstanceRecord, order: Order, now: float
+    ) -> None:
+        """Assume that an accepted order has taken effect.
 
-        A report shows it 0.2 s later at the earliest; the next step of a
-        repair need not wait for that.
+        A report shows the effect 0.2 s later at the earliest; the next step
+        of a repair does not wait for it.
         """
-        held = known.upstream
-        if order.sequence is None or held.sequence != order.sequence:
+        upstream = record.upstream
+        if order.sequence is None or upstream.sequence != order.sequence:
             return
-        seat = held.seat
+        seat = upstream.seat
         if order.kind is OrderKind.LEAVE:
             seat = None
         elif order.kind is OrderKind.JOIN:
@@ -235,56 +259,61 @@
             seat = upstreams.Seat(
                 order.replica, order.epoch, rank, Phase.JOINING
             )
-        known.upstream = msgspec.structs.replace(
-            held, sequence=order.sequence + 1, seat=seat
+        record.upstream = msgspec.structs.replace(
+            upstream, sequence=order.sequence + 1, seat=seat
+        )
+        record.stale_reports_until = now + _STALE_REPORT_SECONDS
+        record.skip_probes_until = now + max(
+            0.0, order.min_duration - _PROBE_LEAD_SECONDS
         )
-        known.settles_at = now + _SETTLE
-        known.quiet_until = now + max(0.0, order.lasts - _EARLY)
         if order.kind is not OrderKind.OPEN:
-            known.pending_until = 0.0
+            record.pending_until = 0.0
 
     def find(self, instance: ids.InstanceId) -> upstreams.Upstream | None:
-        """Return what is known of an instance."""
-        known = self.instances.get(instance)
-        return known.upstream if known else None
+        """Return the known state of an instance, None if it is unknown."""
+        record = self.instances.get(instance)
+        return record.upstream if record else None
 
     def list_replica_members(
         self, instance: ids.InstanceId
     ) -> list[ids.InstanceId]:
         """Return the members of an instance's replica, itself included."""
-        known = self.instances.get(instance)
-        if known is None or known.upstream.seat is None:
+        record = self.instances.get(instance)
+        if record is None or record.upstream.seat is None:
             return []
-        seat = known.upstream.seat
+        seat = record.upstream.seat
         return [
-            name
-            for name, one in self.instances.items()
-            if one.upstream.seat
-            and one.upstream.seat.replica == seat.replica
-            and one.upstream.seat.epoch == seat.epoch
+            other_id
+            for other_id, other in self.instances.items()
+            if other.upstream.seat
+            and other.upstream.seat.replica == seat.replica
+            and other.upstream.seat.epoch == seat.epoch
         ]
 
 
-def _is_behind(reported: upstreams.Upstream, held: upstreams.Upstream) -> bool:
-    """Return whether a report is from before the last accepted order."""
-    if reported.born != held.born or held.sequence is None:
+def _is_stale(
+    reported: upstreams.Upstream, current: upstreams.Upstream
+) -> bool:
+    """Return whether a report is older than the last accepted order."""
+    if reported.born != current.born or current.sequence is None:
         return False
-    return reported.sequence is None or reported.sequence < held.sequence
+    return reported.sequence is None or reported.sequence < current.sequence
 
 
-def _merge(
-    held: upstreams.Upstream, listed: upstreams.Upstream
+def _merge_listed(
+    current: upstreams.Upstream, listed: upstreams.Upstream
 ) -> upstreams.Upstream:
-    """Return what is known of an instance after a look at the list.
+    """Return the state of an instance after a read of the list.
 
-    The list lags behind the instance's own reports, so it adds only
-    whether the instance leaves. A new life under the same id (`born`)
-    supersedes all that was known before.
+    The list lags behind the instance's own reports, so once there is one
+    only `leaving` is taken from the list. If the instance has restarted
+    under its id, as a later `born` shows, the listed state replaces all of
+    the earlier one.
     """
-    if listed.born > held.born:
+    if listed.born > current.born:
         return listed
-    if listed.born < held.born:
-        return held
-    if held.sequence is None:
+    if listed.born < current.born:
+        return current
+    if current.sequence is None:
         return listed
-    return msgspec.structs.replace(held, leaving=listed.leaving)
+    return msgspec.structs.replace(current, leaving=listed.leaving)
--- a/currantwall/coordination/replicas/staging.py
+++ b/currantwall/coordination/replicas/staging.py
@@ -1,10 +1,10 @@
-"""Which weights are loaded onto which idle instances.
+"""Chooses which weights to load onto which idle instances.
 
-The load it answers: instances are lost and replaced all day, a load takes
-12 to 16 s, and the weight store starts only so many a second. A domain
-therefore keeps to one model, which makes every survivor fit every other
-one; another model is loaded only where it is scarce or the domain has
-become too small, and the loads of a domain keep to its part of the rate.
+Instances are lost and replaced all day, a load takes 12 to 16 s, and the
+weight store allows only a limited rate of loads. A domain therefore keeps
+to one model, so that all surviving instances can form a replica together.
+Another model is loaded only where it is scarce or the domain has become
+too small for its own. Each domain keeps to its share of the load rate.
 """
 
 from collections import abc
@@ -14,20 +14,29 @@
 from currantwall.state import ids
 from currantwall.state import routes
 
-__all__ = ["Load", "LoadBucket", "Stock", "assign_models", "choose_loads"]
-
-# Slots of a model's replicas for each of its requests in work: below the
-# first, replicas of it are needed; above the second, it can spare some.
-_LOW_COVER = 1.3
-_HIGH_COVER = 2.5
-# Part of a replica below which a domain doesn't wait for replacements.
-_MIN_REPLICA_PART = 0.5
-# The weight store counts the loads that start within so many seconds, and
-# bears a few beyond its rate. Half of that may start at once, for a domain
-# mostly gets two instances at a time, the other half one by one.
-_WINDOW = 5.0
-_BURST = 3.0
-_INITIAL_PART = 0.5
+__all__ = [
+    "DomainInventory",
+    "Load",
+    "LoadBucket",
+    "assign_models",
+    "choose_loads",
+]
+
+# Coverage of a model: slots of its replicas per request running or waiting.
+# Below the first value it needs more replicas; above the second it can spare
+# some.
+_LOW_COVERAGE = 1.3
+_HIGH_COVERAGE = 2.5
+# Usable instances, as a fraction of a replica's size, with which a domain
+# still waits for replacements instead of loading another model.
+_MIN_REPLICA_FRACTION = 0.5
+# The weight store counts the loads that start within a window of
+# _WINDOW_SECONDS, and allows _BURST_LOADS more than its rate gives. A domain
+# may start half of its share at once, as it mostly gets two instances at a
+# time, and gains the other half over the window.
+_WINDOW_SECONDS = 5.0
+_BURST_LOADS = 3.0
+_INITIAL_FRACTION = 0.5
 
 
 class Load(msgspec.Struct, frozen=True):
@@ -37,24 +46,28 @@
     model: routes.Model
 
 
-class Stock(msgspec.Struct, frozen=True, kw_only=True):
-    """The idle instances of a domain and what the models need.
+class DomainInventory(msgspec.Struct, frozen=True, kw_only=True):
+    """The instances of a domain, and the supply of each model.
 
     Attributes:
         main: Model that the domain is meant for.
         blank: Instances without the weights of any model.
-        idle: Instances that wait with a model's weights, by model; too
-            few to form a replica of it.
-        usable: Instances of the domain that can serve, busy ones too.
-        size: Most instances that the domain has had.
-        cover: Slots of each model's replicas, those to come included,
-            for each of its requests in work.
-        loading: Whether a load is under way here.
-        busy: Whether requests have come. Before, replicas are forming
-            everywhere, and how many there are says nothing.
-        formed: Replicas of each model in this domain.
-        wanted: Instances of each model where the domain is mixed.
-        held: Usable instances with each model, or loading it.
+        idle: Instances that have a model's weights but are too few to form
+            a replica of it, by model.
+        usable: Number of instances that can serve, members of replicas
+            included.
+        size: Largest number of instances that the domain has had.
+        coverage: Slots per request running or waiting, by model; includes
+            replicas that are still to be formed.
+        loading: Whether a load is under way in the domain.
+        has_traffic: Whether any request has come yet. Until then replicas
+            form in all domains, and low coverage doesn't mean that a model
+            is scarce.
+        formed: Number of replicas in this domain, by model.
+        wanted: Number of instances that each model should have, if the
+            domain is mixed; else empty.
+        staged: Number of usable instances that have or load a model's
+            weights, by model.
     """
 
     main: routes.Model
@@ -62,47 +75,54 @@
     idle: abc.Mapping[str, tuple[ids.InstanceId, ...]]
     usable: int
     size: int
-    cover: abc.Mapping[str, float]
+    coverage: abc.Mapping[str, float]
     loading: bool = False
-    busy: bool = True
+    has_traffic: bool = True
     formed: abc.Mapping[str, int] = {}
     wanted: abc.Mapping[str, int] = {}
-    held: abc.Mapping[str, int] = {}
+    staged: abc.Mapping[str, int] = {}
 
 
 class LoadBucket:
-    """A token bucket: the loads that one domain may start.
+    """A token bucket for the loads that one domain may start.
 
-    Each domain keeps to an equal part of what the weight store bears, so
-    that their holders need not hear of each other.
+    Each domain has an equal share of what the weight store allows, so that
+    the holders of domains need not coordinate.
     """
 
     def __init__(self) -> None:
-        self._held = 0.0
-        self._at: float | None = None
+        self._tokens = 0.0
+        self._refilled_at: float | None = None
 
     def count(self, rate: float, domains: int, now: float) -> int:
-        """Return how many loads may start now.
+        """Refill the bucket and return how many loads may start now.
 
         Args:
-            rate: Loads a second that the weight store bears.
-            domains: Domains that share it.
+            rate: Loads per second that the weight store allows.
+            domains: Number of domains that share the rate.
             now: Monotonic time.
         """
-        part = (rate * _WINDOW + _BURST) / max(domains, 1)
-        # One at least, or a small part would never allow any.
-        most = max(1.0, part * _INITIAL_PART)
-        if self._at is None:
-            self._held = most
+        domain_share = (rate * _WINDOW_SECONDS + _BURST_LOADS) / max(
+            domains, 1
+        )
+        # At least one, or a small share would never allow a load.
+        capacity = max(1.0, domain_share * _INITIAL_FRACTION)
+        if self._refilled_at is None:
+            self._tokens = capacity
         else:
-            gained = (now - self._at) * part * (1 - _INITIAL_PART) / _WINDOW
-            self._held = min(most, self._held + gained)
-        self._at = now
-        return int(self._held)
+            refill = (
+                (now - self._refilled_at)
+                * domain_share
+                * (1 - _INITIAL_FRACTION)
+                / _WINDOW_SECONDS
+            )
+            self._tokens = min(capacity, self._tokens + refill)
+        self._refilled_at = now
+        return int(self._tokens)
 
     def spend(self, loads: int) -> None:
-        """Take off the loads that were ordered."""
-        self._held = max(0.0, self._held - loads)
+        """Remove a token for each load that was ordered."""
+        self._tokens = max(0.0, self._tokens - loads)
 
 
 def assign_models(
@@ -112,16 +132,16 @@
 ) -> dict[ids.DomainName, str]:
     """Return the model that each domain is meant for.
 
-    Every node works out the same from the configuration and the list of
-    instances. The domains are dealt out in the order of their names,
-    which spreads each model over the data centres; one that has a model
-    keeps it.
+    Every node gets the same result from the same configuration and list of
+    instances. A domain that already has a model keeps it. The others get
+    one in the order of their names, which spreads each model over the data
+    centres.
 
     Args:
         engine: Models with their expected shares of the work.
-        sizes: Instances of each domain.
-        staged: Model that most instances of a domain have, where most
-            have the same.
+        sizes: Number of instances of each domain.
+        staged: Model that more than half of a domain's instances have, for
+            domains where there is one.
     """
     supply = dict.fromkeys((model.name for model in engine.models), 0.0)
     found = {}
@@ -130,129 +150,168 @@
             found[name] = model
             supply[model] += sizes[name]
     for name in sorted(sizes.keys() - found.keys()):
-        fitting = [one for one in engine.models if one.size <= sizes[name]]
+        fitting = [
+            candidate
+            for candidate in engine.models
+            if candidate.size <= sizes[name]
+        ]
         chosen = min(
             fitting or engine.models,
-            key=lambda one: supply[one.name] / max(one.share, 0.01),
+            key=lambda candidate: (
+                supply[candidate.name] / max(candidate.share, 0.01)
+            ),
         )
         found[name] = chosen.name
-        # Counted in instances: losses come by instance and by domain.
+        # Counted in instances, not replicas: losses hit single instances and
+        # whole domains.
         supply[chosen.name] += sizes[name]
     return found
 
 
-def choose_loads(engine: routes.Engine, stock: Stock) -> list[Load]:
-    """Return the loads that are wanted now."""
+def choose_loads(
+    engine: routes.Engine, inventory: DomainInventory
+) -> list[Load]:
+    """Return the loads to start now, those of blank instances first."""
     found: list[Load] = []
-    if stock.wanted:
-        found = _fill_mix(engine, stock)
-    elif stock.blank:
-        model = _choose_model(engine, stock)
-        found = [Load(instance, model) for instance in stock.blank]
-    return found + _choose_exchanges(engine, stock)
+    if inventory.wanted:
+        found = _load_mixed_domain(engine, inventory)
+    elif inventory.blank:
+        model = _choose_model(engine, inventory)
+        found = [Load(instance, model) for instance in inventory.blank]
+    return found + _choose_conversions(engine, inventory)
 
 
-def _fill_mix(engine: routes.Engine, stock: Stock) -> list[Load]:
-    """Return the loads of blank instances in a mixed domain.
+def _load_mixed_domain(
+    engine: routes.Engine, inventory: DomainInventory
+) -> list[Load]:
+    """Return the loads for blank instances in a mixed domain.
 
-    Each goes to the model that lacks the largest part of its instances.
+    Each instance gets the model that has the smallest fraction of the
+    instances it should have.
     """
-    held = dict(stock.held)
+    staged = dict(inventory.staged)
     found = []
-    for instance in stock.blank:
+    for instance in inventory.blank:
         model = min(
-            (one for one in engine.models if stock.wanted.get(one.name)),
-            key=lambda one: held.get(one.name, 0) / stock.wanted[one.name],
+            (
+                candidate
+                for candidate in engine.models
+                if inventory.wanted.get(candidate.name)
+            ),
+            key=lambda candidate: (
+                staged.get(candidate.name, 0)
+                / inventory.wanted[candidate.name]
+            ),
         )
-        held[model.name] = held.get(model.name, 0) + 1
+        staged[model.name] = staged.get(model.name, 0) + 1
         found.append(Load(instance, model))
     return found
 
 
-def _choose_model(engine: routes.Engine, stock: Stock) -> routes.Model:
-    """Return the model that blank instances are loaded with."""
-    if stock.cover[stock.main.name] < _HIGH_COVER:
-        return stock.main
-    scarce = min(engine.models, key=lambda one: stock.cover[one.name])
-    is_scarce = stock.busy and stock.cover[scarce.name] < _LOW_COVER
-    if is_scarce and scarce.size <= len(stock.blank):
+def _choose_model(
+    engine: routes.Engine, inventory: DomainInventory
+) -> routes.Model:
+    """Return the model to load onto blank instances."""
+    if inventory.coverage[inventory.main.name] < _HIGH_COVERAGE:
+        return inventory.main
+    scarce = min(
+        engine.models, key=lambda model: inventory.coverage[model.name]
+    )
+    is_scarce = (
+        inventory.has_traffic
+        and inventory.coverage[scarce.name] < _LOW_COVERAGE
+    )
+    if is_scarce and scarce.size <= len(inventory.blank):
         return scarce
-    return stock.main
+    return inventory.main
 
 
-def _choose_exchanges(engine: routes.Engine, stock: Stock) -> list[Load]:
-    """Return loads that turn idle instances into a replica.
+def _choose_conversions(
+    engine: routes.Engine, inventory: DomainInventory
+) -> list[Load]:
+    """Return loads of another model by which idle instances form a replica.
 
-    Only where the idle ones cannot form one of the model they have, and
-    the other model is worth the loads.
+    There are such loads only if the idle instances are too few for a
+    replica of the model they have, and the other model is worth the loads.
     """
-    if stock.loading:
+    if inventory.loading:
         return []
-    stranded = [] if stock.wanted else _find_stranded(engine, stock)
+    stranded = [] if inventory.wanted else _convert_stranded(engine, inventory)
     if stranded:
         return stranded
-    for model in sorted(engine.models, key=lambda one: stock.cover[one.name]):
+    for model in sorted(
+        engine.models, key=lambda model: inventory.coverage[model.name]
+    ):
         others = [
             instance
-            for name, instances in stock.idle.items()
+            for name, instances in inventory.idle.items()
             if name != model.name
             for instance in instances
         ]
-        missing = model.size - len(stock.idle.get(model.name, ()))
+        missing = model.size - len(inventory.idle.get(model.name, ()))
         if not 0 < missing <= len(others):
             continue
-        if _is_worth_loads(stock, model, begun=missing < model.size):
+        if _is_worth_converting(
+            inventory, model, has_some=missing < model.size
+        ):
             return [Load(instance, model) for instance in others[:missing]]
     return []
 
 
-def _is_worth_loads(stock: Stock, model: routes.Model, begun: bool) -> bool:
-    """Return whether idle instances are to be turned to a model.
+def _is_worth_converting(
+    inventory: DomainInventory, model: routes.Model, has_some: bool
+) -> bool:
+    """Return whether idle instances should be loaded with a model.
 
-    Failure: a domain lost a few members of its only large replica, turned
-    the idle ones to the other model, of which there was plenty, and could
-    not form its own again when the replacements were loaded.
+    A domain that lost a few members of its only large replica must not load
+    its idle instances with another model of which there is plenty: it could
+    not form its own replica again once the replacements are loaded.
 
     Args:
-        stock: What the domain has.
-        model: The model of a replica that could be formed.
-        begun: Whether some of its instances wait here already.
+        inventory: Instances and coverage of the domain.
+        model: Model of which a replica could be formed.
+        has_some: Whether some idle instances have its weights already.
     """
-    too_small = stock.usable < stock.main.size
-    if stock.wanted or model.name == stock.main.name:
-        return begun or too_small
-    waits = (
-        stock.size >= stock.main.size
-        and stock.usable >= _MIN_REPLICA_PART * stock.main.size
+    is_too_small = inventory.usable < inventory.main.size
+    if inventory.wanted or model.name == inventory.main.name:
+        return has_some or is_too_small
+    awaits_replacements = (
+        inventory.size >= inventory.main.size
+        and inventory.usable >= _MIN_REPLICA_FRACTION * inventory.main.size
     )
-    if too_small and not waits:
+    if is_too_small and not awaits_replacements:
         return True
-    # Failure: at the start the first domains to form take the other model
-    # for scarce and give up their spares; a loss then costs a replica.
-    spares_main = stock.busy and stock.cover[stock.main.name] >= _HIGH_COVER
-    scarce = stock.cover[model.name] < _LOW_COVER
-    if spares_main:
-        return scarce or begun
-    return scarce and too_small
-
-
-def _find_stranded(engine: routes.Engine, stock: Stock) -> list[Load]:
-    """Return loads for instances that wait for a model in vain.
-
-    Failure: instances were loaded with a model of which the domain has no
-    replica, and are too few to form one: they wait for partners that
-    never come. As many are turned as make whole replicas of the domain's
-    own model.
+    # Before the first request, the first domains to form would take the
+    # other model for scarce and convert their spares; a loss would then cost
+    # a replica.
+    can_spare_main = (
+        inventory.has_traffic
+        and inventory.coverage[inventory.main.name] >= _HIGH_COVERAGE
+    )
+    is_scarce = inventory.coverage[model.name] < _LOW_COVERAGE
+    if can_spare_main:
+        return is_scarce or has_some
+    return is_scarce and is_too_small
+
+
+def _convert_stranded(
+    engine: routes.Engine, inventory: DomainInventory
+) -> list[Load]:
+    """Return loads for idle instances that can't get enough partners.
+
+    The domain has no replica of their model, and they are too few to form
+    one, so that they would stay idle for ever. Only as many are loaded with
+    the domain's own model as are needed for whole replicas of it.
     """
-    main = stock.main
+    main = inventory.main
     waiting = [
         instance
         for model in engine.models
-        if model.name != main.name and not stock.formed.get(model.name)
-        for instance in stock.idle.get(model.name, ())
-        if len(stock.idle[model.name]) < model.size
+        if model.name != main.name and not inventory.formed.get(model.name)
+        for instance in inventory.idle.get(model.name, ())
+        if len(inventory.idle[model.name]) < model.size
     ]
-    have = len(stock.idle.get(main.name, ()))
-    whole = (have + len(waiting)) // main.size
-    wanted = max(0, whole * main.size - have)
-    return [Load(instance, main) for instance in waiting[:wanted]]
+    idle_count = len(inventory.idle.get(main.name, ()))
+    replicas = (idle_count + len(waiting)) // main.size
+    missing = max(0, replicas * main.size - idle_count)
+    return [Load(instance, main) for instance in waiting[:missing]]
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -123,7 +123,7 @@
         "a leader that refuses is taken for gone",
         f"{_COORDINATION}/replicas/formation.py",
         "        if phase is Phase.BROKEN:\n",
-        "        if phase is Phase.BROKEN or known.is_gone:\n",
+        "        if phase is Phase.BROKEN or record.is_refusing:\n",
         f"{_FORMATION}.test_members_leave_a_leader_that_has_stopped_listening",
     ),
     Mutant(
@@ -168,8 +168,8 @@
     Mutant(
         "a domain gives up its model for one of which there is plenty",
         f"{_COORDINATION}/replicas/staging.py",
-        "    return scarce and too_small\n",
-        "    return too_small\n",
+        "    return is_scarce and is_too_small\n",
+        "    return is_too_small\n",
         "tests.test_formation.FormationTest"
         ".test_a_domain_waits_for_replacements_while_others_have_plenty",
     ),
@@ -228,7 +228,7 @@
     Mutant(
         "the end of a load not looked for in the list",
         f"{_COORDINATION}/replicas/knowledge.py",
-        "                or one.staged != known.upstream.staged\n",
+        "                    or upstream.staged != record.upstream.staged\n",
         "",
         f"{_FORMATION}.test_the_end_of_a_load_is_seen_at_once",
     ),
@@ -266,8 +266,8 @@
     Mutant(
         "survivors move while their leader serves",
         f"{_COORDINATION}/replicas/formation.py",
-        "        return set(), self._leave((leader,), now)\n",
-        "        return everyone, self._leave((leader,), now)\n",
+        "        return set(), self._plan_leaves((leader,), now)\n",
+        "        return all_members, self._plan_leaves((leader,), now)\n",
         f"{_FORMATION}.test_a_survivor_never_joins_while_its_leader_serves",
     ),
     Mutant(
--- a/tests/test_staging.py
+++ b/tests/test_staging.py
@@ -1,4 +1,4 @@
-"""Which model a domain is meant for, and which weights are loaded."""
+"""Tests which model a domain is meant for and which weights it loads."""
 
 import unittest
 
@@ -15,18 +15,20 @@
 
 
 class AssignmentTest(unittest.TestCase):
-    def test_domains_are_dealt_out_alike_by_all(self):
+    def test_all_nodes_assign_the_same_models(self):
         sizes = {ids.DomainName(f"d{n}"): 9 for n in range(6)}
         found = staging.assign_models(ENGINE, sizes)
-        again = staging.assign_models(ENGINE, dict(reversed(sizes.items())))
-        self.assertEqual(found, again)
+        reordered = staging.assign_models(
+            ENGINE, dict(reversed(sizes.items()))
+        )
+        self.assertEqual(found, reordered)
         self.assertEqual(sorted(found.values()).count("large"), 3)
 
     def test_a_domain_keeps_the_model_that_it_has(self):
-        """New instances were loaded with a model they could never serve.
+        """New instances were loaded with a model that they could never serve.
 
-        One domain grows by two instances, and those after it in the order
-        of the names change places.
+        One domain grows by two instances; without the models that the
+        domains have, those after it by name would be assigned others.
         """
         sizes = {ids.DomainName(f"d{n}"): 37 for n in range(6)}
         first = staging.assign_models(ENGINE, sizes)
@@ -42,7 +44,7 @@
 
 
 class MixTest(unittest.TestCase):
-    """Whether domains hold replicas of several models."""
+    """Tests when domains hold replicas of several models."""
 
     @staticmethod
     def choose(size, shares, sizes):
@@ -58,10 +60,11 @@
         return layout.choose_mix(engine, domains, mains)
 
     def test_domains_are_mixed_where_one_model_leaves_half_of_them_idle(self):
-        """The larger model was short while 20 of 66 instances stood idle.
+        """The larger model was scarce while 20 of 66 instances were idle.
 
-        Six domains of eleven, replicas of six and of three, as much work
-        for each: one model a domain makes four and six replicas.
+        Six domains of eleven, replicas of six and of three, and as many
+        requests for each model: a single model per domain gives four
+        replicas of the larger and six of the smaller.
         """
         found = self.choose(11, (0.67, 0.33), (6, 3))
         self.assertEqual(found, {"large": 1, "small": 1})
@@ -87,98 +90,105 @@
             "idle": {},
             "usable": 9,
             "size": 9,
-            "cover": {"large": 2.0, "small": 2.0},
+            "coverage": {"large": 2.0, "small": 2.0},
         }
-        found = staging.choose_loads(ENGINE, staging.Stock(**fields | kwargs))
-        return [(one.instance, one.model.name) for one in found]
+        found = staging.choose_loads(
+            ENGINE, staging.DomainInventory(**fields | kwargs)
+        )
+        return [(load.instance, load.model.name) for load in found]
 
     def test_blank_instances_get_the_domains_model(self):
         self.assertEqual(self.choose(blank=("a",)), [("a", "large")])
 
-    def test_a_scarce_model_is_loaded_where_the_own_one_has_plenty(self):
-        cover = {"large": 3.0, "small": 0.5}
-        loads = self.choose(blank=("a", "b", "c"), cover=cover)
+    def test_a_scarce_model_is_loaded_where_the_main_one_has_plenty(self):
+        coverage = {"large": 3.0, "small": 0.5}
+        loads = self.choose(blank=("a", "b", "c"), coverage=coverage)
         self.assertEqual({model for _, model in loads}, {"small"})
 
     def test_spares_stay_spares_while_their_model_is_needed(self):
-        """Every loss would cost a load of 16 s.
+        """The spares of a domain must not be loaded with a scarcer model.
 
-        The spares of a domain are loaded with the other model, and the
-        next loss finds none.
+        The next loss would then find no spare and need a load of 16 s.
         """
         idle = {"large": ("a", "b", "c")}
-        cover = {"large": 1.5, "small": 0.5}
-        self.assertEqual(self.choose(idle=idle, cover=cover), [])
+        coverage = {"large": 1.5, "small": 0.5}
+        self.assertEqual(self.choose(idle=idle, coverage=coverage), [])
 
     def test_spares_are_kept_while_replicas_form_everywhere(self):
-        """Each loss cost a replica of sixteen.
+        """Without its spares, each loss cost a domain a replica of sixteen.
 
-        At the start the first domain to form has five spares, sees no
-        replica of the other model yet, and turned four of them into one.
+        At the start the first domain to form has five spares. No replica
+        of the other model is listed yet, so it turned four of them into
+        one.
         """
         idle = {"large": ("a", "b", "c", "d")}
-        cover = {"large": 6.0, "small": 0.0}
+        coverage = {"large": 6.0, "small": 0.0}
         wide = (LARGE, msgspec.structs.replace(SMALL, size=4))
         engine = msgspec.structs.replace(ENGINE, models=wide)
-        stock = staging.Stock(
+        inventory = staging.DomainInventory(
             main=LARGE,
             blank=(),
             idle=idle,
             usable=37,
             size=37,
-            cover=cover,
-            busy=False,
+            coverage=coverage,
+            has_traffic=False,
         )
-        self.assertEqual(staging.choose_loads(engine, stock), [])
-        later = msgspec.structs.replace(stock, busy=True)
-        self.assertEqual(len(staging.choose_loads(engine, later)), 4)
+        self.assertEqual(staging.choose_loads(engine, inventory), [])
+        with_traffic = msgspec.structs.replace(inventory, has_traffic=True)
+        self.assertEqual(len(staging.choose_loads(engine, with_traffic)), 4)
 
-    def test_what_two_models_leave_over_makes_one_replica(self):
+    def test_spares_of_two_models_form_one_replica(self):
         idle = {"large": ("a", "b", "c"), "small": ("d",)}
         self.assertEqual(self.choose(idle=idle), [("d", "large")])
 
-    def test_what_waits_for_partners_in_vain_is_turned(self):
-        """A third of a domain would stand idle for ever.
+    def test_instances_too_few_for_their_model_are_loaded_with_the_main_one(
+        self,
+    ):
+        """A third of a domain's instances were idle for ever.
 
-        Twelve instances were loaded with a model of which a replica takes
-        sixteen, before all instances of the domain were known.
+        Before all instances of the domain were listed, twelve were loaded
+        with a model whose replica takes sixteen.
         """
         waiting = tuple(f"w{n}" for n in range(6))
         engine = msgspec.structs.replace(
             ENGINE,
             models=(SMALL, msgspec.structs.replace(LARGE, size=16)),
         )
-        stock = staging.Stock(
+        inventory = staging.DomainInventory(
             main=SMALL,
             blank=(),
             size=37,
             idle={"small": ("a",), "large": waiting},
             usable=37,
-            cover={"large": 2.0, "small": 2.0},
+            coverage={"large": 2.0, "small": 2.0},
         )
-        loads = staging.choose_loads(engine, stock)
-        self.assertEqual({one.model.name for one in loads}, {"small"})
+        loads = staging.choose_loads(engine, inventory)
+        self.assertEqual({load.model.name for load in loads}, {"small"})
         self.assertEqual(len(loads), 5)
-        mending = msgspec.structs.replace(stock, formed={"large": 1})
-        # Spares of a replica that stands here: only what one more lacks.
-        self.assertEqual(len(staging.choose_loads(engine, mending)), 2)
+        with_replica = msgspec.structs.replace(inventory, formed={"large": 1})
+        # They are spares of a replica here: only as many are loaded as one
+        # more replica of the main model lacks.
+        self.assertEqual(len(staging.choose_loads(engine, with_replica)), 2)
 
-    def test_loads_keep_to_the_domains_part_of_the_rate(self):
-        """The weight store would refuse, or slow down for everybody.
+    def test_loads_keep_to_the_domains_share_of_the_rate(self):
+        """Above its rate the weight store refuses loads or slows all down.
 
-        Load: forty instances without weights come at once in each of
-        six domains, for a minute.
+        Forty instances without weights are added to each of six domains at
+        once, and for a minute each domain starts as many loads as it may.
         """
-        budgets = [staging.LoadBucket() for _ in range(6)]
+        buckets = [staging.LoadBucket() for _ in range(6)]
         started = []
         for step in range(600):
             now = step / 10.0
-            for budget in budgets:
-                count = budget.count(4.5, 6, now)
-                budget.spend(count)
+            for bucket in buckets:
+                count = bucket.count(4.5, 6, now)
+                bucket.spend(count)
                 started += [now] * count
-        for at in started:
-            window = [one for one in started if at <= one < at + 5.0]
+        for start in started:
+            window = [
+                other for other in started if start <= other < start + 5.0
+            ]
             self.assertLessEqual(len(window), 4.5 * 5 * 1.1 + 3)
         self.assertGreater(len(started), 120)
 
