--- a/tests/test_formation.py
+++ b/tests/test_formation.py
@@ -1,8 +1,9 @@
-"""Forming and mending replicas, against instances in virtual time.
+"""Tests forming and repairing replicas against a simulated domain.
 
-`World` is a stand-in for the engine instances of one domain: it obeys
-orders as the engines do, checks the sequence number, and says which
-promise an order broke. It knows nothing of the planner.
+`World` simulates the engine instances of one domain in virtual time: it
+carries out orders as the engines do, checks their sequence numbers, and
+records each violation of the planner's rules. It is independent of the
+planner.
 """
 
 import unittest
@@ -23,15 +24,16 @@
 LARGE = routes.Model(name="large", size=4, share=0.5, load=16.0, warm=1.6)
 SMALL = routes.Model(name="small", size=3, share=0.5, load=12.0, warm=1.1)
 ENGINE = routes.Engine(slots=13, models=(LARGE, SMALL))
-NONE = {
+DEMANDS = {
     "large": formation.Demand(10.0, 2),
     "small": formation.Demand(10.0, 2),
 }
-HOT_JOIN = 0.2
+# Seconds to join another replica of the same model.
+WARM_JOIN = 0.2
 
 
 class Engine:
-    """One engine instance."""
+    """A simulated engine instance."""
 
     def __init__(self, name, staged=()):
         self.id = ids.InstanceId(name)
@@ -40,15 +42,15 @@
         self.born = 1
         self.seat = None
         self.members = ()
-        self.last_model = ""
+        self.joined_model = ""
         self.ready_at = 0.0
         self.staging = None
         self.up = True
         self.listed = True
         self.leaving = False
-        # Whether it has stopped listening while it ends its work.
+        # Whether it no longer listens but still finishes its requests.
         self.refusing = False
-        self.highest = 0
+        self.highest_epoch = 0
 
     def advance(self, now):
         seat = self.seat
@@ -74,19 +76,19 @@
 
 
 class World:
-    """The instances of one domain and what was promised about them."""
+    """The instances of one domain; records violated rules."""
 
     def __init__(self, count, staged=("large",), engine=ENGINE):
         self.engine = engine
         self.engines = {f"i{n}": Engine(f"i{n}", staged) for n in range(count)}
-        self.broken = []
+        self.violations = []
         self.orders = []
 
-    def leader_serves(self, replica, epoch):
-        for one in self.engines.values():
-            seat = one.seat
+    def is_leader_serving(self, replica, epoch):
+        for engine in self.engines.values():
+            seat = engine.seat
             if (
-                one.up
+                engine.up
                 and seat
                 and (seat.replica, seat.epoch) == (replica, epoch)
                 and seat.rank == 0
@@ -94,8 +96,8 @@
                 return seat.phase in (Phase.OPEN, Phase.CLOSING)
         return False
 
-    def obey(self, order, now):
-        """Return the answer to an order."""
+    def carry_out(self, order, now):
+        """Carry out an order; return the answer, None if there is none."""
         engine = self.engines[order.instance]
         if not engine.up:
             return None
@@ -114,20 +116,20 @@
         return accepted
 
     def join(self, engine, order, now):
-        if order.epoch < engine.highest:
+        if order.epoch < engine.highest_epoch:
             return False
         old = engine.seat
-        moves = old is not None and old.replica != order.replica
-        if moves and self.leader_serves(old.replica, old.epoch):
-            self.broken.append(f"{engine.id} in two replicas")
+        changes_replica = old is not None and old.replica != order.replica
+        if changes_replica and self.is_leader_serving(old.replica, old.epoch):
+            self.violations.append(f"{engine.id} in two replicas")
         model = upstreams.parse_name(order.replica)[0]
         wait = self.engine.find(model).load
-        if engine.last_model == model:
-            wait = HOT_JOIN
+        if engine.joined_model == model:
+            wait = WARM_JOIN
         elif model in engine.staged:
             wait = self.engine.find(model).warm
-        engine.highest = order.epoch
-        engine.last_model = model
+        engine.highest_epoch = order.epoch
+        engine.joined_model = model
         engine.ready_at = now + wait
         engine.members = order.members
         rank = order.members.index(engine.id)
@@ -136,7 +138,7 @@
         )
         return True
 
-    def _fits(self, engine, order):
+    def _is_for_seat(self, engine, order):
         seat = engine.seat
         return seat and (seat.replica, seat.epoch) == (
             order.replica,
@@ -144,7 +146,7 @@
         )
 
     def open(self, engine, order, now):
-        if not self._fits(engine, order):
+        if not self._is_for_seat(engine, order):
             return False
         if engine.seat.phase is not Phase.READY or engine.seat.rank:
             return False
@@ -153,21 +155,23 @@
             seat = member.seat
             ready = seat and seat.phase is Phase.READY
             if not ready or seat.epoch != order.epoch:
-                self.broken.append(f"{order.replica} opened without {name}")
+                self.violations.append(
+                    f"{order.replica} opened without {name}"
+                )
         model, _ = upstreams.parse_name(order.replica)
         if len(engine.members) != self.engine.find(model).size:
-            self.broken.append(f"{order.replica} opened too small")
+            self.violations.append(f"{order.replica} opened too small")
         engine.seat = msgspec.structs.replace(engine.seat, phase=Phase.OPEN)
         return True
 
     def close(self, engine, order, now):
-        if not self._fits(engine, order):
+        if not self._is_for_seat(engine, order):
             return False
         engine.seat = msgspec.structs.replace(engine.seat, phase=Phase.READY)
         return True
 
     def leave(self, engine, order, now):
-        if not self._fits(engine, order):
+        if not self._is_for_seat(engine, order):
             return False
         engine.seat = None
         return True
@@ -179,26 +183,26 @@
 
 
 class Session:
-    """A planner and its world, step by step."""
+    """Runs a planner against a world, step by step."""
 
     def __init__(self, world, main="large", mix=None):
         self.world = world
         self.main = main
         self.mix = mix or {}
-        self.demands = NONE
+        self.demands = DEMANDS
         self.size = 0
         self.now = 100.0
-        self.late = []
-        self.lose_answers = False
-        # Seconds between two probes of an instance at rest.
-        self.steady = 2.0
+        self.undelivered = []
+        self.hold_orders = False
+        # Seconds between two probes of an instance that is unlikely to change.
+        self.steady_interval = 2.0
         self.planner = formation.Planner(
             ids.DomainName("d0"), self.world.engine
         )
         self.fence = 1000
 
     def replace_planner(self):
-        """Let a successor take over, who knows only what it sees."""
+        """Let a successor take over, which starts without any records."""
         self.planner = formation.Planner(
             ids.DomainName("d0"), self.world.engine
         )
@@ -210,12 +214,12 @@
         for engine in engines:
             engine.advance(self.now)
         listed = [
-            msgspec.structs.replace(one.describe(), sequence=None)
-            for one in engines
-            if one.listed
+            msgspec.structs.replace(engine.describe(), sequence=None)
+            for engine in engines
+            if engine.listed
         ]
         self.planner.knowledge.note_list(listed, self.now)
-        for name in self.planner.list_probes(self.now, self.steady):
+        for name in self.planner.list_probes(self.now, self.steady_interval):
             engine = self.world.engines[name]
             if engine.refusing:
                 self.planner.knowledge.note_failure(
@@ -233,13 +237,14 @@
             layout.Layout(self.main, self.mix, self.size),
             self.demands,
         )
-        # Orders of one step overtake each other; joins first is the worst.
+        # Orders of one step may overtake each other; joins first is the
+        # worst order.
         orders.sort(key=lambda order: order.kind is not Kind.JOIN)
         for order in orders:
-            if self.lose_answers:
-                self.late.append(order)
+            if self.hold_orders:
+                self.undelivered.append(order)
                 continue
-            answer = self.world.obey(order, self.now)
+            answer = self.world.carry_out(order, self.now)
             self.planner.knowledge.note_answer(order, answer, self.now)
 
     def run(self, seconds):
@@ -247,7 +252,7 @@
             self.step()
 
     def suspect(self, victim):
-        """Probe an instance as after a stall: twice without an answer."""
+        """Record two missed probes, as after a stalled stream."""
         for _ in range(2):
             self.planner.knowledge.note_failure(
                 victim.id, knowledge.ProbeResult.SILENT
@@ -255,8 +260,8 @@
 
     def count_open(self):
         return sum(
-            bool(one.up and one.seat and one.seat.phase is Phase.OPEN)
-            for one in self.world.engines.values()
+            bool(engine.up and engine.seat and engine.seat.phase is Phase.OPEN)
+            for engine in self.world.engines.values()
         )
 
 
@@ -264,7 +269,7 @@
     def start(self, count=9, main="large"):
         session = Session(World(count, (main,)), main)
         session.run(5.0)
-        self.assertEqual(session.world.broken, [])
+        self.assertEqual(session.world.violations, [])
         return session
 
     def test_all_instances_form_what_fits(self):
@@ -272,63 +277,68 @@
         self.assertEqual(session.count_open(), 2)
 
     def test_a_lost_member_is_replaced_by_a_spare_at_once(self):
-        """A caller sees a stream stall and another one a moment later.
+        """A lost member must not stall the replica's streams for seconds.
 
-        A member goes dark. The leader would stall for seconds; the
-        spare is warm, so the replica stands again after a short while.
+        A member stops answering. The spare is warmed up, so the replica is
+        open again within a second.
         """
         session = self.start(9)
         victim = next(
-            one for one in session.world.engines.values() if one.seat.rank == 1
+            engine
+            for engine in session.world.engines.values()
+            if engine.seat.rank == 1
         )
         victim.up = False
         session.suspect(victim)
         session.run(1.0)
         self.assertEqual(session.count_open(), 2)
-        self.assertEqual(session.world.broken, [])
+        self.assertEqual(session.world.violations, [])
 
     def test_survivors_of_two_losses_form_one_replica(self):
-        """Two replicas each lose two members, and one must stand again.
+        """Two replicas each lose two members; one must be open again.
 
-        What is left of both has the same weights on its hosts; nothing
-        may be loaded, which would take 16 s.
+        The survivors have the same weights on their hosts, so there must be
+        no load, which would take 16 s.
         """
         session = self.start(8)
         for rank in (1, 2):
-            for one in session.world.engines.values():
-                if one.seat.rank == rank:
-                    one.up = False
+            for engine in session.world.engines.values():
+                if engine.seat.rank == rank:
+                    engine.up = False
         session.run(2.0)
         self.assertEqual(session.count_open(), 1)
-        loads = [o for o in session.world.orders if o.kind is Kind.STAGE]
+        loads = [
+            order for order in session.world.orders if order.kind is Kind.STAGE
+        ]
         self.assertEqual(loads, [])
 
     def test_a_survivor_never_joins_while_its_leader_serves(self):
-        """An instance would answer for two replicas at once.
+        """An instance must not be part of two replicas at once.
 
-        The leader can be reached and goes on taking requests while a
-        member is lost; it must have left before the others move.
+        A member is lost while the leader answers and goes on taking
+        requests; it must leave before the others join another replica.
         """
         session = self.start(9)
         for victim in list(session.world.engines.values()):
             if victim.seat and victim.seat.rank == 3:
                 victim.up = False
         session.run(3.0)
-        self.assertEqual(session.world.broken, [])
+        self.assertEqual(session.world.violations, [])
 
     def test_members_leave_a_leader_that_has_stopped_listening(self):
-        """Two replicas answered with the same instances.
+        """Two replicas must not answer requests with the same instances.
 
-        A leader is taken away while the store is down, so nobody hears of
-        it: it no longer listens, but ends the work it has. A successor
-        finds its probes refused and took the process for gone.
+        A leader is stopped while the store is down, so that the stop is not
+        in the list: it no longer listens but still finishes its requests.
+        Its probes are refused, and a new holder of the domain took its
+        process for ended.
         """
         for takes_over in (False, True):
             session = self.start(7)
             leader = next(
-                one
-                for one in session.world.engines.values()
-                if one.seat.phase is Phase.OPEN
+                engine
+                for engine in session.world.engines.values()
+                if engine.seat.phase is Phase.OPEN
             )
             leader.refusing = True
             if takes_over:
@@ -338,147 +348,155 @@
                     leader.id, knowledge.ProbeResult.REFUSED
                 )
             session.run(2.0)
-            self.assertEqual(session.world.broken, [])
+            self.assertEqual(session.world.violations, [])
             # The draining leader and the replica formed in its place.
             self.assertEqual(session.count_open(), 2)
 
     def test_a_successor_leaves_open_replicas_alone(self):
-        """Every takeover would stop all replicas of a domain.
+        """A takeover must not stop the replicas of a domain.
 
-        The holder of the domain is killed; its successor knows nothing
-        but what the instances say.
+        The holder of the domain is killed; its successor knows only what
+        the instances report.
         """
         session = self.start(9)
         before = len(session.world.orders)
         session.replace_planner()
         session.run(3.0)
-        kinds = {o.kind for o in session.world.orders[before:]}
+        kinds = {order.kind for order in session.world.orders[before:]}
         self.assertLessEqual(kinds, {Kind.JOIN})
         self.assertEqual(session.count_open(), 2)
 
     def test_a_successor_finishes_a_half_formed_replica(self):
-        """Healthy instances would stay bound and serve nobody.
+        """Healthy instances must not stay in a replica that never opens.
 
-        The holder dies between the joins and the open.
+        The holder is killed between the joins and the open order.
         """
         session = Session(World(4))
         while not any(
-            one.seat and one.seat.phase is Phase.READY
-            for one in session.world.engines.values()
+            engine.seat and engine.seat.phase is Phase.READY
+            for engine in session.world.engines.values()
         ):
             session.step()
         session.replace_planner()
         session.run(3.0)
         self.assertEqual(session.count_open(), 1)
-        self.assertEqual(session.world.broken, [])
+        self.assertEqual(session.world.violations, [])
 
     def test_orders_carried_out_late_do_nothing(self):
-        """A replica would lose a member to an order of seconds ago.
+        """A replica must not lose a member to an order from seconds ago.
 
-        All answers and effects of a while are held back, orders are
-        given anew, and then the old ones are carried out.
+        Orders are held back for a while, then new ones are sent and carried
+        out, and after that the old ones arrive.
         """
         session = Session(World(9))
         session.step()
-        session.lose_answers = True
+        session.hold_orders = True
         session.run(2.0)
-        session.lose_answers = False
-        held = session.late
-        self.assertTrue(held)
+        session.hold_orders = False
+        held_orders = session.undelivered
+        self.assertTrue(held_orders)
         session.run(4.0)
         self.assertEqual(session.count_open(), 2)
-        for order in held:
-            self.assertIs(session.world.obey(order, session.now), False)
+        for order in held_orders:
+            self.assertIs(session.world.carry_out(order, session.now), False)
         session.run(2.0)
         self.assertEqual(session.count_open(), 2)
-        self.assertEqual(session.world.broken, [])
+        self.assertEqual(session.world.violations, [])
 
     def test_a_leaving_member_is_replaced_after_the_work_has_ended(self):
-        """Streams would be cut although the stop was planned.
+        """A planned stop must not cut streams.
 
-        A member is drained. The leader is closed first, which lets its
-        requests end, and leaves then.
+        A member is drained. The leader must first be closed, which lets its
+        requests finish, and only then leave.
         """
         session = self.start(5)
         victim = next(
-            one for one in session.world.engines.values() if one.seat.rank == 2
+            engine
+            for engine in session.world.engines.values()
+            if engine.seat.rank == 2
         )
         victim.leaving = True
         before = len(session.world.orders)
         session.run(4.0)
-        kinds = [o.kind for o in session.world.orders[before:]]
+        kinds = [order.kind for order in session.world.orders[before:]]
         self.assertLess(kinds.index(Kind.CLOSE), kinds.index(Kind.LEAVE))
         self.assertEqual(session.count_open(), 1)
         self.assertIs(victim.seat and victim.seat.phase is Phase.OPEN, False)
-        self.assertEqual(session.world.broken, [])
+        self.assertEqual(session.world.violations, [])
 
     def test_the_end_of_a_load_is_seen_at_once(self):
-        """New instances would wait for seconds with their weights loaded.
+        """New instances must not wait for seconds once their load has ended.
 
-        A load takes 16 s, or a tenth of that before the first request,
-        and an instance that loads is asked every four seconds only; its
-        entry in the list changes as soon as the load has ended.
+        A load takes 16 s, or a tenth of that before the first request, and
+        an instance that loads is probed only every four seconds. Its entry
+        in the list changes as soon as the load has ended.
         """
         world = World(4, staged=())
         session = Session(world)
-        session.steady = 30.0
+        session.steady_interval = 30.0
         session.run(1.0)
-        self.assertEqual({one.kind for one in world.orders}, {Kind.STAGE})
+        self.assertEqual({order.kind for order in world.orders}, {Kind.STAGE})
         for engine in world.engines.values():
             engine.staged = ("large",)
         session.run(1.2)
-        self.assertIn(Kind.JOIN, {one.kind for one in world.orders})
+        self.assertIn(Kind.JOIN, {order.kind for order in world.orders})
 
-    def test_an_instance_is_not_asked_while_nothing_can_change(self):
-        """Each probe is paid for; at a start it was 60 an instance.
+    def test_an_instance_is_not_probed_while_nothing_can_change(self):
+        """Probes have a cost; a start once took 60 of them per instance.
 
-        Load: nine instances form two replicas and stay whole. A first
-        join takes 1.6 s, in which a report can show nothing new.
+        Nine instances form two replicas, which stay whole. A first join
+        takes 1.6 s, during which a report can show nothing new.
         """
         world = World(9)
         session = Session(world)
-        asked = []
-        real = session.planner.list_probes
+        probed = []
+        list_probes = session.planner.list_probes
 
-        def count(now, steady):
-            found = real(now, steady)
-            asked.extend(found)
+        def count(now, steady_interval):
+            found = list_probes(now, steady_interval)
+            probed.extend(found)
             return found
 
         session.planner.list_probes = count
         session.run(6.0)
         self.assertEqual(session.count_open(), 2)
-        self.assertLess(len(asked) / len(world.engines), 12)
+        self.assertLess(len(probed) / len(world.engines), 12)
 
     def test_an_instance_born_again_under_its_id_is_taken_as_new(self):
-        """A replica would wait for a member that has forgotten it.
+        """A replica must not wait for a member that has lost its state.
 
-        A member restarts faster than anybody notices its loss: its
-        order count begins anew, its start is a later one.
+        A member restarts before its loss is noticed: its sequence number
+        starts again, and its start time is later.
         """
         session = self.start(9)
         victim = next(
-            one for one in session.world.engines.values() if one.seat.rank == 1
+            engine
+            for engine in session.world.engines.values()
+            if engine.seat.rank == 1
         )
         victim.born, victim.sequence, victim.seat = 2, 0, None
-        victim.last_model, victim.highest = "", 0
+        victim.joined_model, victim.highest_epoch = "", 0
         session.run(4.0)
         self.assertEqual(session.count_open(), 2)
-        self.assertEqual(session.world.broken, [])
+        self.assertEqual(session.world.violations, [])
 
     def test_blank_instances_are_loaded_with_the_domains_model(self):
         session = Session(World(4, ()))
         session.run(1.0)
-        loads = [o.model for o in session.world.orders if o.kind is Kind.STAGE]
+        loads = [
+            order.model
+            for order in session.world.orders
+            if order.kind is Kind.STAGE
+        ]
         self.assertEqual(loads, ["large"] * 4)
         session.run(20.0)
         self.assertEqual(session.count_open(), 1)
 
     def test_a_mixed_domain_forms_both_models_and_keeps_a_spare_of_each(self):
-        """The larger model was short while half of a domain stood idle.
+        """A model was scarce while half of a domain's instances were idle.
 
         Nine blank instances are meant for a replica of four, one of three,
-        and two spares. Each replica then loses a member; neither loss may
+        and two spares. Each replica then loses a member; neither repair may
         wait for a load of weights.
         """
         world = World(9, ())
@@ -487,41 +505,47 @@
         self.assertEqual(session.count_open(), 2)
         for size in (LARGE.size, SMALL.size):
             victim = next(
-                one
-                for one in world.engines.values()
-                if one.seat and one.seat.rank == 1 and len(one.members) == size
+                engine
+                for engine in world.engines.values()
+                if engine.seat
+                and engine.seat.rank == 1
+                and len(engine.members) == size
             )
             victim.up = False
             session.suspect(victim)
             session.run(1.5)
             self.assertEqual(session.count_open(), 2)
-        self.assertEqual(world.broken, [])
+        self.assertEqual(world.violations, [])
 
     def test_a_replacement_in_a_mixed_domain_gets_what_is_short(self):
-        """A replica of the larger model waited for a member in vain.
+        """A replica of the larger model waited for a member that never came.
 
-        It has lost two members and the domain's spare of its model is
-        used; the instance that comes anew must be loaded for it.
+        It loses two members, and the domain's only spare with its model is
+        used up; a new instance must be loaded with that model.
         """
         world = World(9, ())
         session = Session(world, mix={"large": 1, "small": 1})
         session.run(25.0)
         for _ in range(2):
             victim = next(
-                one
-                for one in world.engines.values()
-                if one.up and one.seat.rank == 1 and len(one.members) == 4
+                engine
+                for engine in world.engines.values()
+                if engine.up
+                and engine.seat.rank == 1
+                and len(engine.members) == 4
             )
             victim.up, victim.listed = False, False
             session.suspect(victim)
             session.run(2.0)
         world.engines["new"] = Engine("new")
         session.run(1.0)
-        loads = [o.model for o in world.orders if o.kind is Kind.STAGE]
+        loads = [
+            order.model for order in world.orders if order.kind is Kind.STAGE
+        ]
         self.assertEqual(loads[-1], "large")
         session.run(20.0)
         self.assertEqual(session.count_open(), 2)
-        self.assertEqual(world.broken, [])
+        self.assertEqual(world.violations, [])
 
     def test_a_domain_too_small_for_its_model_takes_the_other(self):
         session = Session(World(3, ("large",)))
@@ -529,9 +553,9 @@
         self.assertEqual(session.count_open(), 1)
 
     def lose_four_of_nineteen(self, demands):
-        """Return a domain whose replica of sixteen has lost its members.
+        """Return a session whose replica of sixteen has lost four members.
 
-        Replacements come ten seconds later.
+        Four replacements come ten seconds later.
         """
         large = msgspec.structs.replace(LARGE, size=16)
         small = msgspec.structs.replace(SMALL, size=4)
@@ -548,15 +572,15 @@
         for number in range(4):
             session.world.engines[f"new{number}"] = Engine(f"new{number}")
         session.run(20.0)
-        self.assertEqual(session.world.broken, [])
+        self.assertEqual(session.world.violations, [])
         return session
 
     def test_a_domain_waits_for_replacements_while_others_have_plenty(self):
-        """The larger model was gone for the rest of the day.
+        """A domain lost the larger model for the rest of the day.
 
-        Fifteen instances are left of a replica of sixteen; four of them
+        Fifteen instances are left for a replica of sixteen. Four of them
         were loaded with the other model, of which there was enough, and
-        the four replacements did not make up for them.
+        the four replacements then only made up for these.
         """
         session = self.lose_four_of_nineteen(
             {
@@ -566,14 +590,14 @@
         )
         self.assertEqual(session.count_open(), 1)
         (leader,) = [
-            one
-            for one in session.world.engines.values()
-            if one.seat and one.seat.phase is Phase.OPEN
+            engine
+            for engine in session.world.engines.values()
+            if engine.seat and engine.seat.phase is Phase.OPEN
         ]
         self.assertEqual(len(leader.members), 16)
 
     def test_a_domain_too_small_helps_out_where_the_other_is_short(self):
-        """Fifteen instances stood idle while callers were turned away."""
+        """Fifteen instances were idle while requests were refused."""
         session = self.lose_four_of_nineteen(
             {
                 "large": formation.Demand(6.0, 2),
@@ -581,9 +605,9 @@
             }
         )
         members = {
-            len(one.members)
-            for one in session.world.engines.values()
-            if one.seat and one.seat.phase is Phase.OPEN
+            len(engine.members)
+            for engine in session.world.engines.values()
+            if engine.seat and engine.seat.phase is Phase.OPEN
         }
         self.assertEqual(members, {4})
 
@@ -591,33 +615,35 @@
         max_examples=40, deadline=None, derandomize=True, database=None
     )
     @hypothesis.given(strategies.data())
-    def test_no_series_of_faults_breaks_a_promise(self, data):
-        """Losses, returns, takeovers and lost answers in any order."""
+    def test_no_series_of_faults_violates_a_rule(self, data):
+        """Losses, restarts, drains, takeovers and held orders in any order."""
         session = Session(World(9))
         session.run(4.0)
         engines = list(session.world.engines.values())
         for _ in range(data.draw(strategies.integers(2, 8))):
-            what = data.draw(strategies.sampled_from("ldrtqa"))
+            fault = data.draw(strategies.sampled_from("ldrtqa"))
             engine = data.draw(strategies.sampled_from(engines))
-            if what == "l":
+            if fault == "l":
                 engine.up = False
-            elif what == "d":
+            elif fault == "d":
                 engine.leaving = True
-            elif what == "r" and not engine.up:
+            elif fault == "r" and not engine.up:
                 engine.up = True
                 engine.born += 1
                 engine.sequence, engine.seat = 0, None
-                engine.last_model, engine.highest = "", 0
-            elif what == "t":
+                engine.joined_model, engine.highest_epoch = "", 0
+            elif fault == "t":
                 session.replace_planner()
-            elif what == "q":
-                session.lose_answers = not session.lose_answers
-            elif session.late:
-                session.world.obey(session.late.pop(0), session.now)
+            elif fault == "q":
+                session.hold_orders = not session.hold_orders
+            elif session.undelivered:
+                session.world.carry_out(
+                    session.undelivered.pop(0), session.now
+                )
             session.run(data.draw(strategies.sampled_from((0.2, 0.7, 2.0))))
-        session.lose_answers = False
+        session.hold_orders = False
         session.run(6.0)
-        self.assertEqual(session.world.broken, [])
+        self.assertEqual(session.world.violations, [])
 
 
 if __name__ == "__main__":
