--- a/currantwall/coordination/stops/__init__.py
+++ b/currantwall/coordination/stops/__init__.py
@@ -1,5 +1,6 @@
 """Planned stops: of instances that operators name, and of this node.
 
-In come stops and what is still under way; out come what to drain, and who
-takes over the keys of a node that leaves. Start with `stopping`.
+The input is the stops and the state of replicas and requests; the output is
+each stop's progress, and which node takes over the keys of a node that
+leaves. Start reading with `stopping`.
 """
--- a/currantwall/coordination/stops/handover.py
+++ b/currantwall/coordination/stops/handover.py
@@ -1,10 +1,10 @@
-"""Handing the keys of a stopping home to a successor.
+"""Hands the keys of a stopping home over to a successor.
 
-A planned stop would turn every answer in the home's memory into
-"unknown". So the home, once it takes no more requests, sends what it
-knows of its keys to another node in parts, each acknowledged, and the
-successor tells all nodes that it answers for that home. Whoever misses
-that word says "unknown", which is always safe.
+Without a handover, a planned stop would turn every answer in the home's
+memory into "unknown". So once the home takes no more requests, it sends the
+states of its keys to another node in several messages, each acknowledged.
+The successor then announces to all nodes that it answers for the home. A
+node that misses the announcement answers "unknown", which is always safe.
 """
 
 from collections import abc
@@ -19,96 +19,101 @@
 
 __all__ = ["Handover"]
 
+# Number of key states, or bytes of their bodies, that fill a message.
 _PART_STATES = 64
 _PART_BYTES = 262_144
 _RESEND_SECONDS = 0.3
-# The word of a successor is repeated: it may be lost, too.
-_REPEATS = 8
-_REPEAT_SECONDS = 1.0
-# Homes whose keys are kept here, and whose successors are known.
+# A successor's announcement is repeated, as it may be lost.
+_ANNOUNCEMENT_COUNT = 8
+_ANNOUNCE_SECONDS = 1.0
+# Homes whose keys are stored here, and homes whose successors are stored.
 _HOMES_LIMIT = 64
 
 
 class Handover:
-    """Both sides of handing over, for one process."""
+    """Both sides of a handover, for one process."""
 
     def __init__(self, nodes: views.MembersView) -> None:
         self._nodes = nodes
-        self._to: ids.NodeId | None = None
-        self._left: dict[int, wire.HandOver] = {}
-        self._begun = False
+        self._successor: ids.NodeId | None = None
+        self._unacknowledged: dict[int, wire.HandOver] = {}
+        self._has_begun = False
         self._resend_at: float | None = None
         self._parts: dict[keys.Home, dict[int, wire.HandOver]] = {}
         self._adopted: dict[keys.Home, dict[str, wire.KeyState]] = {}
         self._successors: dict[keys.Home, keys.Home] = {}
-        # Words to the other nodes and how often to repeat each.
-        self._words: dict[wire.Successor, int] = {}
-        self._repeat_at = 0.0
+        # Announcements to the other nodes, and how often each is still due.
+        self._announcements: dict[wire.Successor, int] = {}
+        self._announce_at = 0.0
 
     # -- The home that stops
 
     @property
     def is_done(self) -> bool:
-        """Return whether everything is handed over, or nobody is there."""
-        return self._begun and not self._left
+        """Return whether all is handed over or there is no successor."""
+        return self._has_begun and not self._unacknowledged
 
     def begin(
         self, states: abc.Sequence[wire.KeyState], now: float
     ) -> list[part.Action]:
-        """Send everything to a successor."""
-        self._begun = True
+        """Choose a successor and send it all key states."""
+        self._has_begun = True
         me = self._nodes.me
-        local = self._nodes.rank(f"successor:{me.id}", me.datacentre)
-        ranked = local or self._nodes.rank(f"successor:{me.id}")
+        local_ranked = self._nodes.rank(f"successor:{me.id}", me.datacentre)
+        ranked = local_ranked or self._nodes.rank(f"successor:{me.id}")
         others = [node for node in ranked if node != me.id]
         if not others:
             return []
-        self._to = others[0]
+        self._successor = others[0]
         home = keys.Home(me.id, me.incarnation)
         parts = _split(states)
-        self._left = {
-            number: wire.HandOver(home, number, len(parts), part_)
-            for number, part_ in enumerate(parts)
+        self._unacknowledged = {
+            number: wire.HandOver(home, number, len(parts), part_states)
+            for number, part_states in enumerate(parts)
         }
         return self._send_all(now)
 
     def _send_all(self, now: float) -> list[part.Action]:
+        """Send every message that is not acknowledged yet."""
         self._resend_at = now + _RESEND_SECONDS
-        assert self._to is not None
-        return [actions.Send(self._to, body) for body in self._left.values()]
+        assert self._successor is not None
+        return [
+            actions.Send(self._successor, body)
+            for body in self._unacknowledged.values()
+        ]
 
     def due(self) -> float | None:
-        """Return when something is to be sent again."""
-        if self._left:
+        """Return when `resend` has something to send, None if nothing."""
+        if self._unacknowledged:
             return self._resend_at
-        return self._repeat_at if self._words else None
+        return self._announce_at if self._announcements else None
 
     def resend(self, now: float) -> list[part.Action]:
-        """Send again what was not acknowledged, or may not be known."""
+        """Repeat unacknowledged messages and announcements that are due."""
         due = self.due()
         if due is None or now < due:
             return []
-        if self._left:
+        if self._unacknowledged:
             return self._send_all(now)
-        self._repeat_at = now + _REPEAT_SECONDS
+        self._announce_at = now + _ANNOUNCE_SECONDS
         found: list[part.Action] = []
-        for word, left in list(self._words.items()):
-            found.append(actions.Publish(word, urgent=True))
-            self._words[word] = left - 1
-            if left <= 1:
-                del self._words[word]
+        for announcement, repeats in list(self._announcements.items()):
+            found.append(actions.Publish(announcement, urgent=True))
+            self._announcements[announcement] = repeats - 1
+            if repeats <= 1:
+                del self._announcements[announcement]
         return found
 
     def note_taken(self, number: int) -> None:
-        """Note that the successor has a part."""
-        self._left.pop(number, None)
+        """Note that the successor has acknowledged a message."""
+        self._unacknowledged.pop(number, None)
 
     # -- The successor
 
     def take(
         self, sender: ids.NodeId, body: wire.HandOver
     ) -> list[part.Action]:
-        """Store a part; tell all nodes once everything is there."""
+        """Store received key states; announce the handover when complete."""
         found: list[part.Action] = [
             actions.Send(sender, wire.HandOverTaken(body.number))
         ]
@@ -121,35 +126,37 @@
         del self._parts[body.home]
         self._adopted[body.home] = {
             state.name: state
-            for each in parts.values()
-            for state in each.states
+            for received in parts.values()
+            for state in received.states
         }
         _trim(self._adopted)
         me = self._nodes.me
-        word = wire.Successor(body.home, me.id, me.incarnation)
-        self._words[word] = _REPEATS
+        announcement = wire.Successor(body.home, me.id, me.incarnation)
+        self._announcements[announcement] = _ANNOUNCEMENT_COUNT
         return found
 
     def find(self, home: keys.Home) -> dict[str, wire.KeyState] | None:
-        """Return the keys of a home that this node answers for."""
+        """Return the keys of a home that was handed over to this node."""
         return self._adopted.get(home)
 
     # -- All nodes
 
-    def note_successor(self, word: wire.Successor) -> None:
-        """Note who answers for a home."""
-        self._successors[word.home] = keys.Home(word.node, word.incarnation)
+    def note_successor(self, announcement: wire.Successor) -> None:
+        """Note which node answers for a home."""
+        self._successors[announcement.home] = keys.Home(
+            announcement.node, announcement.incarnation
+        )
         _trim(self._successors)
 
     def follow(self, home: keys.Home) -> keys.Home:
-        """Return who answers for a home: itself, or its successor."""
+        """Return the home that answers for a home: its successor or itself."""
         return self._successors.get(home, home)
 
 
 def _split(
     states: abc.Sequence[wire.KeyState],
 ) -> list[tuple[wire.KeyState, ...]]:
-    """Return the states in parts of bounded count and size."""
+    """Split the states into messages of bounded count and size."""
     parts: list[tuple[wire.KeyState, ...]] = []
     current: list[wire.KeyState] = []
     size = 0
@@ -163,6 +170,7 @@
     return parts
 
 
-def _trim(held: dict[keys.Home, typing.Any]) -> None:
-    while len(held) > _HOMES_LIMIT:
-        del held[next(iter(held))]
+def _trim(by_home: dict[keys.Home, typing.Any]) -> None:
+    """Remove the oldest homes beyond the limit."""
+    while len(by_home) > _HOMES_LIMIT:
+        del by_home[next(iter(by_home))]
--- a/currantwall/coordination/stops/stopping.py
+++ b/currantwall/coordination/stops/stopping.py
@@ -1,8 +1,8 @@
-"""Planned stops as operators see them, and stops of this very node.
+"""Describes planned stops for operators, and starts the stop of this node.
 
-A stop never cuts a request: what it covers leaves its replicas only when
-they are drained, however long that takes, and here is said what it is
-waiting for.
+A stop never cuts a request: instances that it covers leave their replicas
+only when these are drained, however long that takes. The description says
+what the stop still waits for.
 """
 
 import msgspec
@@ -22,14 +22,14 @@
 
 __all__ = ["Progress", "Stopping", "covers"]
 
-_MICROSECONDS = 1e6
+_MICROSECONDS_PER_SECOND = 1e6
 
 
 class Progress(msgspec.Struct, frozen=True):
     """How far a stop has come.
 
     Attributes:
-        waiting: What it waits for, empty when it is finished.
+        waiting: What it waits for; empty if it has finished.
     """
 
     finished: bool
@@ -37,7 +37,7 @@
 
 
 class Stopping(part.Part):
-    """Describes stops; starts the stop of this node."""
+    """Describes stops and starts the stop of this node."""
 
     def __init__(
         self,
@@ -60,23 +60,23 @@
         kind = timeline.EventKind.STOP_CHANGED
         detail = "cancelled" if stop is None else f"planned for {stop.target}"
         found: list[part.Action] = [actions.Record(kind, name, detail)]
-        if stop is not None and self._is_for_me(stop):
+        if stop is not None and self._is_for_this_process(stop):
             found.append(actions.Leave(f"stop {name}"))
         return found
 
-    def _is_for_me(self, stop: stops.Stop) -> bool:
-        """Return whether a stop asks this very process to end.
+    def _is_for_this_process(self, stop: stops.Stop) -> bool:
+        """Return whether a stop asks this process to end.
 
-        One that was planned before the process started was meant for
-        its predecessor.
+        A stop that was planned before the process started was meant for the
+        node's previous process.
         """
         me = self._nodes.me
-        newer = stop.planned * _MICROSECONDS > me.incarnation
-        entry = stop.scope is stops.StopScope.ENTRY
-        return entry and stop.target == me.id and newer
+        is_newer = stop.planned * _MICROSECONDS_PER_SECOND > me.incarnation
+        is_entry = stop.scope is stops.StopScope.ENTRY
+        return is_entry and stop.target == me.id and is_newer
 
     def describe(self, stop: stops.Stop) -> Progress:
-        """Return how far a stop has come."""
+        """Return the progress of a stop."""
         if stop.scope is stops.StopScope.ENTRY:
             return self._describe_entry(stop)
         covered = {
@@ -84,22 +84,23 @@
             for name, listed in self._view.instances.items()
             if covers(stop, listed)
         }
-        holding = [
+        affected = [
             replica
-            for ledger in self._view.domains.values()
-            for replica in ledger.replicas
+            for fabric_domain in self._view.domains.values()
+            for replica in fabric_domain.replicas
             if not covered.isdisjoint(replica.members)
         ]
-        if holding:
-            return Progress(False, self._describe_replicas(holding))
-        busy = sum(self._opinions.load_of(name)[0] for name in covered)
-        if busy:
-            return Progress(False, f"waiting for {busy} requests")
+        if affected:
+            return Progress(False, self._describe_replicas(affected))
+        requests = sum(self._opinions.load_of(name)[0] for name in covered)
+        if requests:
+            return Progress(False, f"waiting for {requests} requests")
         return Progress(True)
 
-    def _describe_replicas(self, holding: list[domain.Replica]) -> str:
+    def _describe_replicas(self, replicas: list[domain.Replica]) -> str:
+        """Return what each replica of a stop waits for."""
         parts = []
-        for replica in holding:
+        for replica in replicas:
             load, _ = self._opinions.load_of(replica.id)
             if replica.phase is domain.ReplicaPhase.DRAINING:
                 parts.append(f"{replica.id}: waiting for {load} requests")
@@ -108,10 +109,11 @@
         return "; ".join(parts)
 
     def _describe_entry(self, stop: stops.Stop) -> Progress:
+        """Return the progress of the stop of a node."""
         member = self._nodes.get(ids.NodeId(stop.target))
         if member is None or member.state is members.MemberState.DEAD:
             return Progress(True)
-        if member.incarnation > stop.planned * _MICROSECONDS:
+        if member.incarnation > stop.planned * _MICROSECONDS_PER_SECOND:
             return Progress(True)
         return Progress(False, f"{member.id}: {member.state.value}")
 
