--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -91,7 +91,7 @@
     Mutant(
         "a node that hears nobody tells losses",
         "currantwall/transport/domainleases.py",
-        "is_lapsed(now) or self._presence.is_alone(now):",
+        "is_lapsed(now) or self._presence.is_isolated(now):",
         "is_lapsed(now):",
         f"{_DUTIES}.ProbeTest.test_a_node_that_hears_nobody_tells_no_losses",
     ),
@@ -123,7 +123,7 @@
         "a leader that refuses is taken for gone",
         f"{_COORDINATION}/replicas/formation.py",
         "        if phase is Phase.BROKEN:\n",
-        "        if phase is Phase.BROKEN or known.is_gone:\n",
+        "        if phase is Phase.BROKEN or record.is_refusing:\n",
         f"{_FORMATION}.test_members_leave_a_leader_that_has_stopped_listening",
     ),
     Mutant(
@@ -168,8 +168,8 @@
     Mutant(
         "a domain gives up its model for one of which there is plenty",
         f"{_COORDINATION}/replicas/staging.py",
-        "    return scarce and too_small\n",
-        "    return too_small\n",
+        "    return is_scarce and is_too_small\n",
+        "    return is_too_small\n",
         "tests.test_formation.FormationTest"
         ".test_a_domain_waits_for_replacements_while_others_have_plenty",
     ),
@@ -228,7 +228,7 @@
     Mutant(
         "the end of a load not looked for in the list",
         f"{_COORDINATION}/replicas/knowledge.py",
-        "                or one.staged != known.upstream.staged\n",
+        "                    or upstream.staged != record.upstream.staged\n",
         "",
         f"{_FORMATION}.test_the_end_of_a_load_is_seen_at_once",
     ),
@@ -242,7 +242,7 @@
     Mutant(
         "counts of a node added up by both its relays",
         f"{_COORDINATION}/peers/digests.py",
-        "            if told.asks is Asks.RELAY:\n",
+        "            if heartbeat.asks is RelayRequest.FULL:\n",
         "            if True:\n",
         f"{_DIGESTS}.LargeFleetTest"
         ".test_the_counts_of_all_nodes_are_added_up_once",
@@ -250,9 +250,9 @@
     Mutant(
         "silent nodes never asked to relay",
         f"{_COORDINATION}/peers/presence.py",
-        "        if self._is_heard(peer, now) or peer.asked is None:\n"
+        "        if self._is_alive(peer, now) or peer.asked_since is None:\n"
         "            return True\n",
-        "        return self._is_heard(peer, now)\n",
+        "        return self._is_alive(peer, now)\n",
         f"{_DIGESTS}.LargeFleetTest"
         ".test_the_fleet_goes_on_when_all_relays_die_at_once",
     ),
@@ -266,8 +266,8 @@
     Mutant(
         "survivors move while their leader serves",
         f"{_COORDINATION}/replicas/formation.py",
-        "        return set(), self._leave((leader,), now)\n",
-        "        return everyone, self._leave((leader,), now)\n",
+        "        return set(), self._plan_leaves((leader,), now)\n",
+        "        return all_members, self._plan_leaves((leader,), now)\n",
         f"{_FORMATION}.test_a_survivor_never_joins_while_its_leader_serves",
     ),
     Mutant(
@@ -281,7 +281,7 @@
     Mutant(
         "a refusal taken for an outage by who was refused",
         f"{_COORDINATION}/peers/outages.py",
-        "            if until - began > _SHORTEST_OUTAGE:\n",
+        "            if until - began > _MIN_OUTAGE_SECONDS:\n",
         "            if until - began > 0.0:\n",
         f"{_FEEDS}.FleetFeedTest"
         ".test_who_leaves_is_dropped_after_this_node_was_turned_away",
@@ -297,7 +297,7 @@
     Mutant(
         "a refusal taken for an outage by who was told",
         f"{_COORDINATION}/peers/outages.py",
-        "            if until - began > _SHORTEST_OUTAGE:\n",
+        "            if until - began > _MIN_OUTAGE_SECONDS:\n",
         "            if until - began > 0.0:\n",
         f"{_FEEDS}.FollowerTest"
         ".test_who_leaves_is_dropped_after_a_reader_was_cut_off",
