--- a/currantwall/coordination/profiles/__init__.py
+++ b/currantwall/coordination/profiles/__init__.py
@@ -1,6 +1,8 @@
-"""What operators allow: profiles, their edits, and what they hold.
+"""Profiles: their edits, their grants of capacity and their forecasts.
 
-In come edits and the demand of each profile; out come versions in force,
-grants of replicas and forecasts of hours. Only the product's own interface
-has profiles. Start with `configuration` and `granting`.
+`configuration` keeps the stored objects of this node up to date and
+`edits` stores what operators change. `granting` plans how many replicas
+of a profile each domain may hold, `shares` is the domain's side of that.
+`usage` measures what profiles hold, for `forecast`. Only the product's own
+interface has profiles. Start with `configuration` and `granting`.
 """
