--- a/currantwall/coordination/profiles/forecast.py
+++ b/currantwall/coordination/profiles/forecast.py
@@ -1,8 +1,9 @@
-"""Next month's accelerator hours, as bounds and an expected figure.
+"""Next month's accelerator hours: two bounds and an expected figure.
 
-For each profile: no more than its capacity, because capacity is granted
-before it is used; no less than what it holds now, while nobody edits it;
-and in between what measured use says. Every number names its basis.
+The upper bound of a profile is its capacity, because capacity is granted
+before it is used. The lower bound is what it holds now, as long as nobody
+edits it. The expected figure follows measured use and lies between the
+two. Every figure names its basis.
 """
 
 from collections import abc
@@ -30,7 +31,12 @@
 
 
 class Figure(msgspec.Struct, frozen=True):
-    """One number of the forecast and what it rests on."""
+    """One figure of the forecast.
+
+    Attributes:
+        cost: Accelerator hours times the price of the profile.
+        basis: Explanation of the figure, for operators.
+    """
 
     accelerator_hours: float
     cost: float
@@ -38,7 +44,11 @@
 
 
 class Line(msgspec.Struct, frozen=True):
-    """The forecast of one profile."""
+    """The forecast of one profile.
+
+    Attributes:
+        edited: Whether it is made for an edit of the profile.
+    """
 
     profile: ids.ProfileName
     at_most: Figure
@@ -48,7 +58,13 @@
 
 
 class Forecast(msgspec.Struct, frozen=True):
-    """The forecast of all profiles for a month of some hours."""
+    """The forecast of all profiles for one month.
+
+    Attributes:
+        month: Name of the month, such as 2027-01.
+        hours: Hours of the month.
+        total: Sum over all profiles.
+    """
 
     month: str
     hours: float
@@ -67,84 +83,101 @@
 
     Args:
         month: Name of the month.
-        hours: Its length.
+        hours: Hours of the month.
         standings: What the profiles hold now.
         uses: Measured use, from any number of nodes.
-        edits: Profiles as they would be after an edit.
+        edits: Profiles that replace stored ones or are added to them.
     """
-    changed = {one.name: one for one in edits}
-    by_name = {one.profile.name: one for one in standings}
-    each = max((one.each for one in standings), default=1)
-    for name, wanted in changed.items():
+    edited_profiles = {edit.name: edit for edit in edits}
+    by_name = {standing.profile.name: standing for standing in standings}
+    each = max((standing.each for standing in standings), default=1)
+    for name, wanted in edited_profiles.items():
         by_name.setdefault(name, Standing(wanted, 0, each))
     lines = tuple(
-        _forecast_one(hours, standing, uses, changed.get(name))
+        _forecast_profile(hours, standing, uses, edited_profiles.get(name))
         for name, standing in sorted(by_name.items())
     )
-    return Forecast(month, hours, lines, _add_up(lines))
+    return Forecast(month, hours, lines, _sum_lines(lines))
 
 
-def _forecast_one(
+def _forecast_profile(
     hours: float,
     standing: Standing,
     uses: abc.Sequence[usage.Use],
     edit: profile.Profile | None,
 ) -> Line:
     wanted = edit or standing.profile
-    asked = _count_asked(wanted, standing.each)
-    fill, basis = _measure_fill(standing, uses)
-    least = min(standing.held, asked)
-    expected = min(float(wanted.capacity), max(float(least), asked * fill))
+    requested = _count_requested(wanted, standing.each)
+    held_ratio, basis = _measure_held_ratio(standing, uses)
+    lower_bound = min(standing.held, requested)
+    expected = min(
+        float(wanted.capacity),
+        max(float(lower_bound), requested * held_ratio),
+    )
 
-    def figure(accelerators: float, basis: str) -> Figure:
-        amount = accelerators * hours
-        return Figure(amount, amount * wanted.price, basis)
+    def make_figure(accelerators: float, basis: str) -> Figure:
+        accelerator_hours = accelerators * hours
+        return Figure(
+            accelerator_hours, accelerator_hours * wanted.price, basis
+        )
 
     return Line(
         profile=wanted.name,
-        at_most=figure(
+        at_most=make_figure(
             wanted.capacity, f"capacity of {wanted.capacity} accelerators"
         ),
-        expected=figure(expected, f"{asked} accelerators asked for, {basis}"),
-        at_least=figure(
-            least, f"{least} accelerators held now and still asked for"
+        expected=make_figure(
+            expected, f"{requested} accelerators asked for, {basis}"
+        ),
+        at_least=make_figure(
+            lower_bound,
+            f"{lower_bound} accelerators held now and still asked for",
         ),
         edited=edit is not None,
     )
 
 
-def _count_asked(wanted: profile.Profile, each: int) -> int:
-    asked = wanted.replicas * wanted.replica_size * each
-    return min(asked, wanted.capacity)
+def _count_requested(wanted: profile.Profile, per_instance: int) -> int:
+    requested = wanted.replicas * wanted.replica_size * per_instance
+    return min(requested, wanted.capacity)
 
 
-def _measure_fill(
+def _measure_held_ratio(
     standing: Standing, uses: abc.Sequence[usage.Use]
 ) -> tuple[float, str]:
-    """Return which share of what was asked for was held, and the basis."""
-    own = [one for one in uses if one.profile == standing.profile.name]
-    seconds = sum(one.seconds for one in own)
-    asked = _count_asked(standing.profile, standing.each)
-    if seconds <= 0 or asked <= 0:
+    """Return the mean share of the requested accelerators that was held.
+
+    The result is at most 1, and comes with the basis of the figure. Nodes
+    are weighted by how long they measured.
+    """
+    profile_uses = [
+        use for use in uses if use.profile == standing.profile.name
+    ]
+    seconds = sum(use.seconds for use in profile_uses)
+    requested = _count_requested(standing.profile, standing.each)
+    if seconds <= 0 or requested <= 0:
         return 1.0, "no measured use yet: taken as held in full"
-    mean = sum(one.held for one in own) / seconds
-    fill = min(1.0, mean / asked)
-    hours = max(one.seconds for one in own) / 3600
-    return fill, f"{fill:.1%} of them held over the last {hours:.1f} h"
+    mean_held = sum(use.held for use in profile_uses) / seconds
+    held_ratio = min(1.0, mean_held / requested)
+    hours = max(use.seconds for use in profile_uses) / 3600
+    return (
+        held_ratio,
+        f"{held_ratio:.1%} of them held over the last {hours:.1f} h",
+    )
 
 
-def _add_up(lines: abc.Sequence[Line]) -> Line:
-    def add(figures: abc.Sequence[Figure]) -> Figure:
+def _sum_lines(lines: abc.Sequence[Line]) -> Line:
+    def sum_figures(figures: abc.Sequence[Figure]) -> Figure:
         return Figure(
-            sum(one.accelerator_hours for one in figures),
-            sum(one.cost for one in figures),
+            sum(figure.accelerator_hours for figure in figures),
+            sum(figure.cost for figure in figures),
             f"sum over {len(figures)} profiles",
         )
 
     return Line(
         profile=ids.ProfileName("(all)"),
-        at_most=add([line.at_most for line in lines]),
-        expected=add([line.expected for line in lines]),
-        at_least=add([line.at_least for line in lines]),
+        at_most=sum_figures([line.at_most for line in lines]),
+        expected=sum_figures([line.expected for line in lines]),
+        at_least=sum_figures([line.at_least for line in lines]),
         edited=any(line.edited for line in lines),
     )
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -1,4 +1,4 @@
-"""The forecast's bounds and bases."""
+"""Bounds and bases of the forecast."""
 
 import datetime
 import unittest
@@ -23,28 +23,29 @@
 )
 
 
-def _make(
+def _forecast_line(
     held: int, uses: list[usage.Use], edits: list[profile.Profile]
 ) -> forecast.Line:
     standing = forecast.Standing(_PROFILE, held, 4)
-    found = forecast.make_forecast("2027-01", 100, [standing], uses, edits)
-    return found.lines[0]
+    made = forecast.make_forecast("2027-01", 100, [standing], uses, edits)
+    return made.lines[0]
 
 
 class ForecastTest(unittest.TestCase):
-    def test_numbers_and_their_bases(self) -> None:
+    def test_figures_and_their_bases(self) -> None:
         use = usage.Use(_PROFILE.name, 3600.0, 12 * 3600.0)
-        line = _make(16, [use], [])
+        line = _forecast_line(16, [use], [])
         self.assertEqual(2400.0, line.at_most.accelerator_hours)
         self.assertEqual(4800.0, line.at_most.cost)
         self.assertEqual(1600.0, line.at_least.accelerator_hours)
-        # 12 of 16 were held, but 16 are held now: no less than that.
+        # Measured use gives 12 accelerators, but 16 are held now: the
+        # expected figure is not below the lower bound.
         self.assertEqual(1600.0, line.expected.accelerator_hours)
         self.assertIn("75.0% of them held", line.expected.basis)
 
-    def test_edit_in_a_file_is_weighed_like_the_profile(self) -> None:
+    def test_edit_replaces_the_stored_profile(self) -> None:
         smaller = msgspec.structs.replace(_PROFILE, replicas=1, capacity=8)
-        line = _make(16, [], [smaller])
+        line = _forecast_line(16, [], [smaller])
         self.assertTrue(line.edited)
         self.assertEqual(800.0, line.at_most.accelerator_hours)
         self.assertEqual(800.0, line.at_least.accelerator_hours)
@@ -55,16 +56,16 @@
         replicas=st.integers(0, 5),
         capacity=st.integers(0, 24),
     )
-    def test_bounds_stand_in_order(
+    def test_bounds_are_in_order(
         self, held: int, measured: float, replicas: int, capacity: int
     ) -> None:
-        # Finance reads "at least, expected, at most"; numbers that cross
-        # would be worse than none.
+        # Failure: the expected figure lies outside its bounds, and the
+        # reader of "at least, expected, at most" is misled.
         edit = msgspec.structs.replace(
             _PROFILE, replicas=replicas, capacity=capacity
         )
         use = usage.Use(_PROFILE.name, 3600.0, measured * 3600.0)
-        line = _make(held, [use], [edit])
+        line = _forecast_line(held, [use], [edit])
         least = line.at_least.accelerator_hours
         expected = line.expected.accelerator_hours
         self.assertLessEqual(least, expected)
