--- a/currantwall/coordination/profiles/edits.py
+++ b/currantwall/coordination/profiles/edits.py
@@ -1,9 +1,10 @@
 """Operators' edits: stored once, then in force on every live node.
 
 An edit is one conditional update. It is *accepted* when it is stored and
-every live node has acknowledged it; when some have not in time, the
-answer names them. An update whose answer was lost is settled by reading
-the object back: the same value at a newer version is the edit.
+every live node has acknowledged it. When some nodes have not by the
+deadline, the answer names them. After an update whose answer was lost,
+the object is read back: if it has the same value at a newer version, the
+edit was stored.
 """
 
 import enum
@@ -23,14 +24,23 @@
 
 __all__ = ["EditOutcome", "EditRequested", "EditResult", "Edits"]
 
-# Between pushes to nodes that have not acknowledged yet.
+# Seconds between pushes to nodes that have not acknowledged an edit yet.
 _PUSH_INTERVAL = 0.3
-# Between reads that settle a write while the platform does not answer.
+# Seconds between attempts to read an object back while the platform does
+# not answer.
 _READ_INTERVAL = 0.25
 
 
 class EditOutcome(enum.Enum):
-    """How an edit ended."""
+    """How an edit ended.
+
+    Attributes:
+        ACCEPTED: Stored and in force on every live node.
+        STORED: Stored; some live nodes have not acknowledged it in time.
+        CONFLICT: Not stored: the object has another version than expected.
+        NOT_STORED: Not stored: the platform was not reached.
+        UNKNOWN: The deadline passed before the outcome was known.
+    """
 
     ACCEPTED = "accepted"
     STORED = "stored"
@@ -54,10 +64,11 @@
 
 
 class EditResult(msgspec.Struct, frozen=True):
-    """What the operator is told.
+    """The answer to an operator's edit.
 
     Attributes:
-        missing: Live nodes where the edit is not in force yet.
+        version: Version of the stored object, 0 where none was stored.
+        missing: Live nodes that have not acknowledged the edit.
     """
 
     outcome: EditOutcome
@@ -66,21 +77,32 @@
 
 
 class _Edit(msgspec.Struct):
-    """One edit under way; `stored` once it is."""
+    """One edit in progress.
+
+    Attributes:
+        call: The last call to the platform.
+        is_reading: Whether that call reads the object back.
+        maybe_written: Whether the answer of a write was lost, so that it
+            may have taken effect.
+        next_push: When to push the edit again to `unacknowledged`.
+        next_read: When to read the object back, None for not at all.
+        stored: The object as stored, None until it is.
+        unacknowledged: Live nodes that have not acknowledged the edit.
+    """
 
     request: EditRequested
     deadline: float
     call: ids.CallId
-    reading: bool = False
-    sent: bool = False
+    is_reading: bool = False
+    maybe_written: bool = False
     next_push: float = 0.0
     next_read: float | None = None
     stored: objects.Stored | None = None
-    waiting: set[ids.NodeId] = msgspec.field(default_factory=set)
+    unacknowledged: set[ids.NodeId] = msgspec.field(default_factory=set)
 
 
 class Edits(part.Part):
-    """Takes edits and answers them."""
+    """Stores operators' edits and reports their outcome."""
 
     def __init__(
         self,
@@ -99,7 +121,11 @@
         """Return when the next tick is wanted."""
         times = [edit.deadline for edit in self._edits]
         times += [edit.next_push for edit in self._edits if edit.stored]
-        times += [e.next_read for e in self._edits if e.next_read is not None]
+        times += [
+            edit.next_read
+            for edit in self._edits
+            if edit.next_read is not None
+        ]
         return min(times, default=None)
 
     @part.handles(EditRequested)
@@ -113,7 +139,7 @@
 
     def _write(self, edit: _Edit) -> list[part.Action]:
         edit.call = self._numbers.next()
-        edit.reading = False
+        edit.is_reading = False
         request = edit.request
         return [
             actions.WriteObject(
@@ -127,41 +153,41 @@
     ) -> list[part.Action]:
         for edit in self._edits:
             if edit.call == answer.call and edit.stored is None:
-                if edit.reading:
-                    return self._settle(edit, answer, now)
-                return self._note_written(edit, answer, now)
+                if edit.is_reading:
+                    return self._handle_read_answer(edit, answer, now)
+                return self._handle_write_answer(edit, answer, now)
         return []
 
-    def _note_written(
+    def _handle_write_answer(
         self, edit: _Edit, answer: messages.PlatformAnswer, now: float
     ) -> list[part.Action]:
         statuses = messages.PlatformStatus
         if answer.is_ok:
-            return self._spread(edit, answer.revision, now)
+            return self._publish(edit, answer.revision, now)
         if answer.status is statuses.LOST:
-            edit.sent = True
-        if answer.status is statuses.CONFLICT and not edit.sent:
-            return self._end(edit, EditOutcome.CONFLICT)
-        if answer.status is statuses.UNAVAILABLE and not edit.sent:
-            return self._end(edit, EditOutcome.NOT_STORED)
-        return self._read(edit)
-
-    def _read(self, edit: _Edit) -> list[part.Action]:
+            edit.maybe_written = True
+        if answer.status is statuses.CONFLICT and not edit.maybe_written:
+            return self._finish(edit, EditOutcome.CONFLICT)
+        if answer.status is statuses.UNAVAILABLE and not edit.maybe_written:
+            return self._finish(edit, EditOutcome.NOT_STORED)
+        return self._read_back(edit)
+
+    def _read_back(self, edit: _Edit) -> list[part.Action]:
         edit.call = self._numbers.next()
-        edit.reading = True
+        edit.is_reading = True
         edit.next_read = None
         return [actions.ReadObject(edit.call, edit.request.key)]
 
-    def _settle(
+    def _handle_read_answer(
         self, edit: _Edit, answer: messages.PlatformAnswer, now: float
     ) -> list[part.Action]:
-        """Decide from the stored object whether the lost write took.
+        """Decide from the stored object whether a lost write took effect.
 
-        Failure: a write took effect but its answer was lost; telling the
-        operator "conflict" would make him do it twice. An unchanged
-        version is written again: it may have been the write that was
-        lost, or it may still be on its way, and the condition on the
-        version lets only one of the two take effect.
+        Failure: a write takes effect but its answer is lost. An answer of
+        "conflict" would make the operator repeat the edit. While the
+        version is unchanged, the object is written again: the first write
+        may be lost or still on its way, and the condition on the version
+        lets only one of the two take effect.
         """
         request = edit.request
         statuses = messages.PlatformStatus
@@ -175,82 +201,84 @@
         if version == request.expected:
             return self._write(edit)
         if value == request.value:
-            return self._spread(edit, version, now)
-        return self._end(edit, EditOutcome.CONFLICT)
+            return self._publish(edit, version, now)
+        return self._finish(edit, EditOutcome.CONFLICT)
 
-    def _spread(
+    def _publish(
         self, edit: _Edit, version: ids.Version, now: float
     ) -> list[part.Action]:
         request = edit.request
         edit.stored = objects.Stored(request.key, version, request.value)
         edit.next_push = now + _PUSH_INTERVAL
-        edit.waiting = {
+        edit.unacknowledged = {
             member.id
             for member in self._nodes.present()
             if member.incarnation > 0 and member.id != self._nodes.me.id
         }
         written = configuration.Written(edit.stored)
-        return [actions.Tell(written), *self._check(edit, now)]
+        return [actions.Tell(written), *self._finish_if_done(edit, now)]
 
     @part.handles(wire.Applied)
     def _on_applied(
         self, message: messages.Received, now: float
     ) -> list[part.Action]:
-        found: list[part.Action] = []
+        next_actions: list[part.Action] = []
         body = message.body
         for edit in list(self._edits):
             stored = edit.stored
             if stored is None or stored.key != body.key:
                 continue
             if body.version >= stored.version:
-                edit.waiting.discard(message.sender)
-                found += self._check(edit, now)
-        return found
+                edit.unacknowledged.discard(message.sender)
+                next_actions += self._finish_if_done(edit, now)
+        return next_actions
 
     @part.handles(part.Tick)
     def _on_tick(self, _: part.Tick, now: float) -> list[part.Action]:
-        found: list[part.Action] = []
+        next_actions: list[part.Action] = []
         for edit in list(self._edits):
-            found += self._check(edit, now)
+            next_actions += self._finish_if_done(edit, now)
             if edit not in self._edits:
                 continue
-            found += self._push_again(edit, now)
+            next_actions += self._push_unacknowledged(edit, now)
             if edit.next_read is not None and now >= edit.next_read:
-                found += self._read(edit)
-        return found
+                next_actions += self._read_back(edit)
+        return next_actions
 
-    def _check(self, edit: _Edit, now: float) -> list[part.Action]:
+    def _finish_if_done(self, edit: _Edit, now: float) -> list[part.Action]:
         if edit.stored is None:
             if now < edit.deadline:
                 return []
-            return self._end(edit, EditOutcome.UNKNOWN)
-        edit.waiting = {
-            node for node in edit.waiting if self._is_present(node)
+            return self._finish(edit, EditOutcome.UNKNOWN)
+        edit.unacknowledged = {
+            node for node in edit.unacknowledged if self._is_present(node)
         }
-        if not edit.waiting:
-            return self._end(edit, EditOutcome.ACCEPTED)
+        if not edit.unacknowledged:
+            return self._finish(edit, EditOutcome.ACCEPTED)
         if now >= edit.deadline:
-            return self._end(edit, EditOutcome.STORED)
+            return self._finish(edit, EditOutcome.STORED)
         return []
 
     def _is_present(self, node: ids.NodeId) -> bool:
         member = self._nodes.get(node)
         return member is not None and member.is_present
 
-    def _push_again(self, edit: _Edit, now: float) -> list[part.Action]:
+    def _push_unacknowledged(
+        self, edit: _Edit, now: float
+    ) -> list[part.Action]:
         if now < edit.next_push or edit.stored is None:
             return []
         edit.next_push = now + _PUSH_INTERVAL
         push = wire.Push((edit.stored,), confirm=True)
-        found: list[part.Action] = []
-        for node in sorted(edit.waiting):
-            found.append(actions.Send(node, push))
-            found.append(actions.Tell(messages.Doubted(node)))
-        return found
+        next_actions: list[part.Action] = []
+        for node in sorted(edit.unacknowledged):
+            next_actions.append(actions.Send(node, push))
+            next_actions.append(actions.Tell(messages.Doubted(node)))
+        return next_actions
 
-    def _end(self, edit: _Edit, outcome: EditOutcome) -> list[part.Action]:
+    def _finish(self, edit: _Edit, outcome: EditOutcome) -> list[part.Action]:
         self._edits.remove(edit)
         version = edit.stored.version if edit.stored else ids.Version(0)
-        missing = tuple(sorted(edit.waiting))
+        missing = tuple(sorted(edit.unacknowledged))
         answer = EditResult(outcome, version, missing)
         return [actions.Reply(edit.request.ticket, answer)]
