--- a/currantwall/coordination/profiles/granting.py
+++ b/currantwall/coordination/profiles/granting.py
@@ -1,14 +1,16 @@
-"""The planner of each profile: which domain may hold how much.
-
-One entry node, found by rendezvous hash, plans for a profile; two that
-both think so meet in the conditional update of ``grants/<profile>``. The
-planner raises grants and sets targets. It never lowers a grant: that is
-the holder's, after the accelerators are free.
-
-Replicas are spread: the domain with the fewest replicas of the profile
-goes first, in the data centre with the fewest, then the one with most
-room. An outdated or leaving replica is replaced first and drained after,
-where capacity and room allow; else one domain at a time reworks in place.
+"""Plans how many replicas and accelerators each domain may hold.
+
+One entry node, chosen by rendezvous hash, is the planner of a profile. If
+two nodes both take that role, the conditional update of
+``grants/<profile>`` lets only one write succeed. The planner raises grants
+and sets targets. It never lowers a grant: the holder of the domain does
+so after the accelerators are free.
+
+Replicas are spread: a new one goes to the data centre with the fewest
+replicas of the profile, there to the domain with the fewest, then to the
+one with the most idle instances. An outdated or leaving replica is
+replaced first and drained afterwards where capacity and idle instances
+allow it. Otherwise one domain at a time reworks its replicas in place.
 """
 
 from collections import abc
@@ -32,202 +34,230 @@
 from currantwall.state import stops
 from currantwall.state import views
 
-__all__ = ["Granting", "Site", "plan_grants"]
+__all__ = ["DomainSummary", "Granting", "plan_grants"]
 
-_INTERVAL = 1.0
+# Seconds between plans, and before the next one after a failed write.
+_PLAN_INTERVAL = 1.0
 Phase = domain.ReplicaPhase
 
 
-class Site(msgspec.Struct, frozen=True, kw_only=True):
-    """What the planner knows of one domain for one profile.
+class DomainSummary(msgspec.Struct, frozen=True, kw_only=True):
+    """Replicas of one profile in one domain, as the planner counts them.
 
     Attributes:
-        good: Replicas that stay and are what the profile asks for.
-        stale: Replicas that are outdated or leave.
+        current: Replicas that stay and are what the profile asks for.
+        stale: Replicas that are outdated, have leaving members or are in
+            a stopped domain.
         serving: Replicas in service, stale ones included.
-        forming: Good replicas that do not serve yet.
-        draining: Replicas on their way out.
-        idle: Instances a new replica could take.
+        forming: Current replicas that do not serve yet.
+        draining: Replicas that are being drained.
+        idle: Instances that new replicas may take.
         accelerators: Accelerators of one instance.
-        closed: Whether a stop covers the whole domain.
+        stopped: Whether a stop covers the whole domain.
     """
 
     name: ids.DomainName
     datacentre: ids.DatacentreName
-    good: int = 0
+    current: int = 0
     stale: int = 0
     serving: int = 0
     forming: int = 0
     draining: int = 0
     idle: int = 0
     accelerators: int = 1
-    closed: bool = False
+    stopped: bool = False
 
     @property
     def count(self) -> int:
-        """Return the replicas that are not on their way out."""
-        return self.good + self.stale
+        """Return the number of replicas that are not being drained."""
+        return self.current + self.stale
 
 
 def plan_grants(
     wanted: profile.Profile,
-    held: grants.Grants,
-    sites: abc.Sequence[Site],
+    stored: grants.Grants,
+    summaries: abc.Sequence[DomainSummary],
     version: ids.Version,
 ) -> grants.Grants:
-    """Return the grants as they should be.
+    """Return the grants that the profile and the domains call for.
 
     Args:
         wanted: The profile.
-        held: The grants as stored.
-        sites: The domains.
+        stored: The grants as stored.
+        summaries: The state of each domain.
         version: Version of the profile.
     """
-    planned = msgspec.structs.replace(held, profile_version=version)
-    by_name = {site.name: site for site in sites}
+    planned = msgspec.structs.replace(stored, profile_version=version)
+    by_name = {summary.name: summary for summary in summaries}
     total = sum(share.target for share in planned.shares)
-    stale = sum(site.stale for site in sites)
-    surge = _choose_surge(wanted, sites)
+    stale = sum(summary.stale for summary in summaries)
+    surge = _count_surge(wanted, summaries)
     while total < wanted.replicas + surge:
-        grown = _grow(wanted, planned, sites)
+        grown = _add_replica(wanted, planned, summaries)
         if grown is None:
             break
         planned, total = grown, total + 1
     while total > wanted.replicas + surge:
-        shrunk = _shrink(planned, by_name)
+        shrunk = _remove_replica(planned, by_name)
         if shrunk is None:
             break
         planned, total = shrunk, total - 1
-    planned = _top_up(wanted, planned, sites)
+    planned = _raise_to_targets(wanted, planned, summaries)
     surged = total > wanted.replicas
-    return _set_rework(wanted, planned, sites, bool(stale) and not surged)
+    return _set_rework(wanted, planned, summaries, bool(stale) and not surged)
 
 
-def _top_up(
+def _raise_to_targets(
     wanted: profile.Profile,
-    held: grants.Grants,
-    sites: abc.Sequence[Site],
+    planned: grants.Grants,
+    summaries: abc.Sequence[DomainSummary],
 ) -> grants.Grants:
-    """Return the grants raised to what the targets need now.
+    """Return the grants raised, within the capacity, to fit the targets.
 
-    Replicas that were asked to be larger need more than was granted for
-    them; within the capacity.
+    After an edit that makes replicas larger, they need more accelerators
+    than were granted for them.
     """
-    for site in sites:
-        share = held.get(site.name)
-        need = share.target * wanted.replica_size * site.accelerators
-        more = need - share.granted
-        if more > 0 and held.total + more <= wanted.capacity:
-            held = held.put(msgspec.structs.replace(share, granted=need))
-    return held
-
-
-def _choose_surge(wanted: profile.Profile, sites: abc.Sequence[Site]) -> int:
-    """Return the replicas wanted on top while stale ones are replaced.
-
-    One more is built while no more serve than are asked for; once it
-    serves, a stale one goes, and so on until none is left.
+    for summary in summaries:
+        share = planned.get(summary.name)
+        needed = share.target * wanted.replica_size * summary.accelerators
+        increase = needed - share.granted
+        if increase > 0 and planned.total + increase <= wanted.capacity:
+            planned = planned.put(
+                msgspec.structs.replace(share, granted=needed)
+            )
+    return planned
+
+
+def _count_surge(
+    wanted: profile.Profile, summaries: abc.Sequence[DomainSummary]
+) -> int:
+    """Return the number of extra replicas while stale ones are replaced.
+
+    One extra replica is formed while no more replicas serve than the
+    profile asks for. Once it serves, a stale one is drained, and so on
+    until none is left.
     """
-    stale = sum(site.stale for site in sites)
-    serving = sum(site.serving for site in sites)
+    stale = sum(summary.stale for summary in summaries)
+    serving = sum(summary.serving for summary in summaries)
     return int(bool(stale) and serving <= wanted.replicas)
 
 
-def _grow(
+def _add_replica(
     wanted: profile.Profile,
-    held: grants.Grants,
-    sites: abc.Sequence[Site],
+    planned: grants.Grants,
+    summaries: abc.Sequence[DomainSummary],
 ) -> grants.Grants | None:
     """Return the grants with one more replica, None where none fits."""
-    fitting = [site for site in sites if _fits(wanted, held, site)]
+    fitting = [
+        summary
+        for summary in summaries
+        if _can_add_replica(wanted, planned, summary)
+    ]
     if not fitting:
         return None
-    targets = {share.domain: share.target for share in held.shares}
-    per_place: dict[ids.DatacentreName, int] = {}
-    for site in sites:
-        count = targets.get(site.name, 0)
-        place = site.datacentre
-        per_place[place] = per_place.get(place, 0) + count
+    targets = {share.domain: share.target for share in planned.shares}
+    replicas_per_datacentre: dict[ids.DatacentreName, int] = {}
+    for summary in summaries:
+        count = targets.get(summary.name, 0)
+        datacentre = summary.datacentre
+        replicas_per_datacentre[datacentre] = (
+            replicas_per_datacentre.get(datacentre, 0) + count
+        )
     best = min(
         fitting,
-        key=lambda site: (
-            per_place[site.datacentre],
-            targets.get(site.name, 0),
-            -site.idle,
-            site.name,
+        key=lambda summary: (
+            replicas_per_datacentre[summary.datacentre],
+            targets.get(summary.name, 0),
+            -summary.idle,
+            summary.name,
         ),
     )
-    share = held.get(best.name)
-    need = (share.target + 1) * wanted.replica_size * best.accelerators
-    return held.put(
+    share = planned.get(best.name)
+    needed = (share.target + 1) * wanted.replica_size * best.accelerators
+    return planned.put(
         msgspec.structs.replace(
             share,
             target=share.target + 1,
-            granted=max(share.granted, need),
+            granted=max(share.granted, needed),
         )
     )
 
 
-def _fits(wanted: profile.Profile, held: grants.Grants, site: Site) -> bool:
-    share = held.get(site.name)
+def _can_add_replica(
+    wanted: profile.Profile, planned: grants.Grants, summary: DomainSummary
+) -> bool:
+    share = planned.get(summary.name)
     size = wanted.replica_size
-    pending = max(0, share.target - site.count)
-    if site.closed or site.idle < size * (pending + 1):
+    pending = max(0, share.target - summary.count)
+    if summary.stopped or summary.idle < size * (pending + 1):
         return False
-    need = (share.target + 1) * size * site.accelerators
-    more = max(0, need - share.granted)
-    return held.total + more <= wanted.capacity
+    needed = (share.target + 1) * size * summary.accelerators
+    increase = max(0, needed - share.granted)
+    return planned.total + increase <= wanted.capacity
 
 
-def _shrink(
-    held: grants.Grants, sites: abc.Mapping[ids.DomainName, Site]
+def _remove_replica(
+    planned: grants.Grants,
+    summaries: abc.Mapping[ids.DomainName, DomainSummary],
 ) -> grants.Grants | None:
-    """Return the grants with one replica less, stale ones first."""
-    able = [share for share in held.shares if share.target > 0]
-    if not able:
+    """Return the grants with one replica less, None where none is left.
+
+    Domains with stale replicas come first, then those that have not met
+    their target, then those with the highest target.
+    """
+    candidates = [share for share in planned.shares if share.target > 0]
+    if not candidates:
         return None
 
     def prefer(share: grants.Share) -> tuple[bool, bool, int, str]:
-        site = sites.get(share.domain)
-        stale = bool(site and site.stale)
-        unmet = bool(site and site.count < share.target)
+        summary = summaries.get(share.domain)
+        stale = bool(summary and summary.stale)
+        unmet = bool(summary and summary.count < share.target)
         return (not stale, not unmet, -share.target, share.domain)
 
-    victim = min(able, key=prefer)
-    lowered = msgspec.structs.replace(victim, target=victim.target - 1)
-    return held.put(lowered)
+    chosen = min(candidates, key=prefer)
+    lowered = msgspec.structs.replace(chosen, target=chosen.target - 1)
+    return planned.put(lowered)
 
 
 def _set_rework(
     wanted: profile.Profile,
-    held: grants.Grants,
-    sites: abc.Sequence[Site],
+    planned: grants.Grants,
+    summaries: abc.Sequence[DomainSummary],
     needed: bool,
 ) -> grants.Grants:
-    """Let one domain at a time rework in place, the others none."""
-    under_way = [share.domain for share in held.shares if share.rework]
-    stale = sorted(site.name for site in sites if site.stale)
+    """Return the grants that let at most one domain rework in place."""
+    reworking = [share.domain for share in planned.shares if share.rework]
+    stale_domains = sorted(
+        summary.name for summary in summaries if summary.stale
+    )
     chosen = None
-    if needed and stale:
-        kept = [name for name in under_way if name in stale]
-        chosen = (kept or stale)[0]
-        if not kept and not _is_calm(wanted, sites):
+    if needed and stale_domains:
+        continuing = [name for name in reworking if name in stale_domains]
+        chosen = (continuing or stale_domains)[0]
+        if not continuing and not _is_fully_serving(wanted, summaries):
             chosen = None
-    for share in held.shares:
+    for share in planned.shares:
         rework = int(share.domain == chosen)
         if share.rework != rework:
-            held = held.put(msgspec.structs.replace(share, rework=rework))
-    return held
-
-
-def _is_calm(wanted: profile.Profile, sites: abc.Sequence[Site]) -> bool:
-    """Return whether nothing is out of service or on its way out."""
-    serving = sum(site.serving for site in sites)
-    return serving >= sum(site.count + site.draining for site in sites)
+            planned = planned.put(
+                msgspec.structs.replace(share, rework=rework)
+            )
+    return planned
+
+
+def _is_fully_serving(
+    wanted: profile.Profile, summaries: abc.Sequence[DomainSummary]
+) -> bool:
+    """Return whether every replica serves and none is being drained."""
+    serving = sum(summary.serving for summary in summaries)
+    return serving >= sum(
+        summary.count + summary.draining for summary in summaries
+    )
 
 
 class Granting(part.Part):
-    """Plans for the profiles that fall to this node."""
+    """Plans the grants of the profiles whose planner is this node."""
 
     def __init__(
         self,
@@ -238,13 +268,13 @@
         self._view = view
         self._nodes = nodes
         self._numbers = numbers
-        self._next = 0.0
-        self._calls: dict[ids.CallId, str] = {}
-        self._waits: dict[str, float] = {}
+        self._next_plan = 0.0
+        self._writes: dict[ids.CallId, str] = {}
+        self._retry_times: dict[str, float] = {}
 
     def due(self) -> float:
         """Return when the next tick is wanted."""
-        return self._next
+        return self._next_plan
 
     @part.handles(messages.ObjectChanged)
     def _on_object(self, message: messages.ObjectChanged, now: float) -> None:
@@ -252,22 +282,22 @@
             objects.Kind.PROFILES.value,
             objects.Kind.STOPS.value,
         ):
-            self._next = min(self._next, now)
+            self._next_plan = min(self._next_plan, now)
 
     @part.handles(part.Tick)
     def _on_tick(self, _: part.Tick, now: float) -> list[part.Action]:
-        if now < self._next:
+        if now < self._next_plan:
             return []
-        self._next = now + _INTERVAL
-        found: list[part.Action] = []
-        busy = set(self._calls.values())
+        self._next_plan = now + _PLAN_INTERVAL
+        next_actions: list[part.Action] = []
+        in_flight = set(self._writes.values())
         for name, wanted in self._view.profiles.items():
             ranked = self._nodes.rank(f"profile:{name}")
-            mine = bool(ranked) and ranked[0] == self._nodes.me.id
-            waits = now < self._waits.get(name, 0.0)
-            if mine and name not in busy and not waits:
-                found += self._plan(wanted)
-        return found
+            is_planner = bool(ranked) and ranked[0] == self._nodes.me.id
+            must_wait = now < self._retry_times.get(name, 0.0)
+            if is_planner and name not in in_flight and not must_wait:
+                next_actions += self._plan(wanted)
+        return next_actions
 
     def _plan(self, wanted: profile.Profile) -> list[part.Action]:
         key = shares.make_key(wanted.name)
@@ -275,17 +305,20 @@
             objects.Kind.PROFILES.value, wanted.name
         )
         version = self._view.version(profile_key)
-        held = self._view.grants.get(wanted.name)
-        held = held or grants.Grants(profile=wanted.name)
-        if held.profile_version > version:
-            # A newer edit is in force elsewhere: ours must not act.
+        stored = self._view.grants.get(wanted.name)
+        stored = stored or grants.Grants(profile=wanted.name)
+        if stored.profile_version > version:
+            # The grants follow a newer version of the profile than this
+            # node has: do not plan from the older one.
             return [actions.Tell(configuration.Refresh(profile_key))]
-        sites = self._describe(wanted)
-        planned = plan_grants(self._adjust(wanted), held, sites, version)
-        if planned == held:
+        summaries = self._summarise_domains(wanted)
+        planned = plan_grants(
+            self._reduce_if_yielding(wanted), stored, summaries, version
+        )
+        if planned == stored:
             return []
         call = self._numbers.next()
-        self._calls[call] = wanted.name
+        self._writes[call] = wanted.name
         value = objects.encode(planned)
         expected = self._view.expect(key)
         return [actions.WriteObject(call, key, value, expected)]
@@ -294,123 +327,132 @@
     def _on_answer(
         self, answer: messages.PlatformAnswer, now: float
     ) -> list[part.Action]:
-        name = self._calls.pop(answer.call, None)
+        name = self._writes.pop(answer.call, None)
         if name is None:
             return []
         if answer.is_ok:
-            self._waits.pop(name, None)
+            self._retry_times.pop(name, None)
             return [
                 actions.Tell(configuration.Written(stored))
                 for stored in answer.stored
             ]
-        self._waits[name] = now + _INTERVAL
+        self._retry_times[name] = now + _PLAN_INTERVAL
         key = shares.make_key(name)
         return [
             actions.Count(actions.Counter.PLATFORM_CONFLICTS, "grants"),
             actions.Tell(configuration.Refresh(key)),
         ]
 
-    def _adjust(self, wanted: profile.Profile) -> profile.Profile:
-        """Return the profile with fewer replicas while it must yield."""
-        held = self._view.grants
+    def _reduce_if_yielding(self, wanted: profile.Profile) -> profile.Profile:
+        """Return the profile, with fewer replicas while it must yield."""
+        profile_grants = self._view.grants
         yielding = competition.choose_yielding(
-            self._list_needs(), self._view.profiles, held
+            self._list_needs(), self._view.profiles, profile_grants
         )
         if yielding != wanted.name:
             return wanted
-        total = sum(share.target for share in held[wanted.name].shares)
+        total = sum(
+            share.target for share in profile_grants[wanted.name].shares
+        )
         fewer = min(wanted.replicas, max(0, total - 1))
         return msgspec.structs.replace(wanted, replicas=fewer)
 
     def _list_needs(self) -> list[competition.Need]:
-        each = max(_count_accelerators(self._view).values(), default=1)
+        accelerators = max(_count_accelerators(self._view).values(), default=1)
         return competition.list_needs(
             self._view.profiles,
             self._view.grants,
             self._view.domains,
-            each,
+            accelerators,
         )
 
-    # -- What is known of the domains
-
-    def _describe(self, wanted: profile.Profile) -> list[Site]:
-        each = _count_accelerators(self._view)
-        closed = _list_closed(self._view)
-        leaving = _list_leaving(self._view)
-        kept = competition.reserve_for_others(wanted, self._list_needs())
-        found = []
-        for held in self._view.domains.values():
-            count = each.get(held.name, 1)
-            site = _describe_site(held, wanted, count, closed, leaving)
-            idle = max(0, site.idle - kept)
-            found.append(msgspec.structs.replace(site, idle=idle))
-        return found
-
-
-def _describe_site(
-    held: domain.Domain,
+    # -- State of the domains
+
+    def _summarise_domains(
+        self, wanted: profile.Profile
+    ) -> list[DomainSummary]:
+        accelerators = _count_accelerators(self._view)
+        stopped = _list_stopped(self._view)
+        leaving = _list_leaving_instances(self._view)
+        reserved = competition.reserve_for_others(wanted, self._list_needs())
+        summaries = []
+        for ledger in self._view.domains.values():
+            count = accelerators.get(ledger.name, 1)
+            summary = _summarise_domain(
+                ledger, wanted, count, stopped, leaving
+            )
+            idle = max(0, summary.idle - reserved)
+            summaries.append(msgspec.structs.replace(summary, idle=idle))
+        return summaries
+
+
+def _summarise_domain(
+    ledger: domain.Domain,
     wanted: profile.Profile,
-    each: int,
-    closed: abc.Set[str],
+    accelerators: int,
+    stopped: abc.Set[str],
     leaving: abc.Set[str],
-) -> Site:
+) -> DomainSummary:
     staying = [
         replica
-        for replica in held.select(wanted.name)
+        for replica in ledger.select(wanted.name)
         if replica.phase is not Phase.DRAINING
     ]
-    shut = not closed.isdisjoint((held.name, held.datacentre))
-    good = [
+    is_stopped = not stopped.isdisjoint((ledger.name, ledger.datacentre))
+    current = [
         replica
         for replica in staying
         if placement.is_current(replica, wanted)
         and leaving.isdisjoint(replica.members)
-        and not shut
+        and not is_stopped
     ]
-    forming = sum(1 for r in good if r.phase is Phase.FORMING)
-    serving = sum(1 for r in staying if r.phase is Phase.SERVING)
-    return Site(
-        name=held.name,
-        datacentre=held.datacentre,
-        good=len(good),
-        stale=len(staying) - len(good),
+    forming = sum(1 for replica in current if replica.phase is Phase.FORMING)
+    serving = sum(1 for replica in staying if replica.phase is Phase.SERVING)
+    return DomainSummary(
+        name=ledger.name,
+        datacentre=ledger.datacentre,
+        current=len(current),
+        stale=len(staying) - len(current),
         serving=serving,
         forming=forming,
-        draining=len(held.select(wanted.name)) - len(staying),
-        idle=held.idle,
-        accelerators=each,
-        closed=shut,
+        draining=len(ledger.select(wanted.name)) - len(staying),
+        idle=ledger.idle,
+        accelerators=accelerators,
+        stopped=is_stopped,
     )
 
 
 def _count_accelerators(
     view: views.ObjectsView,
 ) -> dict[ids.DomainName, int]:
+    """Return the accelerators of one instance of each domain."""
     return {
-        held.name: max(
-            (one.accelerators for one in view.list_engines(held.name)),
+        ledger.name: max(
+            (engine.accelerators for engine in view.list_engines(ledger.name)),
             default=1,
         )
-        for held in view.domains.values()
+        for ledger in view.domains.values()
     }
 
 
-def _list_closed(view: views.ObjectsView) -> set[str]:
+def _list_stopped(view: views.ObjectsView) -> set[str]:
+    """Return the domains and data centres that a stop covers."""
     scopes = (stops.StopScope.DOMAIN, stops.StopScope.DATACENTRE)
     return {
         stop.target for stop in view.stops.values() if stop.scope in scopes
     }
 
 
-def _list_leaving(view: views.ObjectsView) -> set[str]:
-    found = {
+def _list_leaving_instances(view: views.ObjectsView) -> set[str]:
+    """Return the instances that a stop covers or that are leaving."""
+    leaving = {
         stop.target
         for stop in view.stops.values()
         if stop.scope is stops.StopScope.INSTANCE
     }
-    found.update(
+    leaving.update(
         listed.id
         for listed in view.instances.values()
         if listed.state is instances.InstanceState.LEAVING
     )
-    return found
+    return leaving
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -413,7 +413,7 @@
     Mutant(
         "capacity not asked for",
         f"{_COORDINATION}/profiles/granting.py",
-        "    return held.total + more <= wanted.capacity\n",
+        "    return planned.total + increase <= wanted.capacity\n",
         "    return True\n",
         f"{_REPLICAS}.CapacityTest.test_capacity_bounds_what_is_held",
     ),
