--- a/currantwall/coordination/profiles/shares.py
+++ b/currantwall/coordination/profiles/shares.py
@@ -1,9 +1,9 @@
-"""The holder's side of the grants: claim, use, give back.
+"""Shares of one domain in the grants, as the domain's holder handles them.
 
-The planner of a profile raises what a domain may hold; only the holder
-of the domain lowers it, after its ledger holds less. A new holder first
-claims each share by writing its epoch there, so that a late write of its
-predecessor meets a newer version and fails.
+The planner of a profile raises what a domain may hold. Only the holder of
+the domain lowers it, after its ledger holds less. A new holder first
+claims each share by writing its epoch into it, so that a late write of its
+predecessor expects an older version and fails.
 """
 
 from collections import abc
@@ -26,52 +26,54 @@
 
 __all__ = ["ShareKeeper", "make_key"]
 
-# Between tries to write grants that meet conflicts or a platform outage.
+# Seconds before the next write of grants after a conflict or while the
+# platform is down.
 _RETRY_INTERVAL = 0.5
 
 
 def make_key(name: str) -> objects.ObjectKey:
-    """Return where the grants of a profile are stored."""
+    """Return the key of the grants of a profile."""
     return objects.ObjectKey(objects.Kind.GRANTS.value, name)
 
 
 class ShareKeeper:
-    """Shares of one domain, kept by its holder."""
+    """Claims, lowers and writes the shares of one domain for its holder."""
 
     def __init__(
         self,
         name: ids.DomainName,
         view: views.ObjectsView,
         numbers: calls.Calls,
-        patience: float,
+        unused_timeout: float,
     ) -> None:
         self._name = name
         self._view = view
         self._numbers = numbers
-        self._patience = patience
+        self._unused_timeout = unused_timeout
         self._call: ids.CallId | None = None
         self._profile = ""
         self._written: bytes = b""
+        # Profiles whose last write of grants has not succeeded yet.
         self._unsettled: set[str] = set()
         self._unused_since: dict[str, float] = {}
         self._next_try = 0.0
 
     def forget(self) -> None:
-        """Drop what a former time as the holder left."""
+        """Discard the times measured in a former term as the holder."""
         self._unused_since.clear()
 
     def owns(self, call: ids.CallId) -> bool:
-        """Return whether a call is this keeper's."""
+        """Return whether a call is one of this object's writes."""
         return call == self._call
 
     def list_usable(self, epoch: ids.Epoch) -> dict[str, grants.Share]:
         """Return the shares that may be used under an epoch."""
-        found = {}
-        for name, held in self._view.grants.items():
-            share = held.get(self._name)
+        usable = {}
+        for name, stored in self._view.grants.items():
+            share = stored.get(self._name)
             if share.epoch == epoch and name not in self._unsettled:
-                found[name] = share
-        return found
+                usable[name] = share
+        return usable
 
     def step(
         self,
@@ -82,15 +84,15 @@
         """Write the next share that has to change."""
         if self._call is not None or now < self._next_try:
             return []
-        # A share that is unsettled is written whatever it says.
-        for name, held in self._view.grants.items():
-            share = held.get(self._name)
-            wanted = self._decide(name, share, ledger, members, now)
-            if wanted != share or name in self._unsettled:
-                return self._write(name, held.put(wanted))
+        # An unsettled share is written even when it has not changed.
+        for name, stored in self._view.grants.items():
+            share = stored.get(self._name)
+            updated = self._update_share(name, share, ledger, members, now)
+            if updated != share or name in self._unsettled:
+                return self._write(name, stored.put(updated))
         return []
 
-    def _decide(
+    def _update_share(
         self,
         name: str,
         share: grants.Share,
@@ -98,7 +100,13 @@
         members: abc.Mapping[ids.InstanceId, placement.Member],
         now: float,
     ) -> grants.Share:
-        """Return the share as it should be."""
+        """Return the share that the holder has to write.
+
+        A share of another epoch is only claimed. Otherwise the grant is
+        lowered to what the target needs, but not below what the ledger
+        holds. For a deleted profile, or where replicas were not built in
+        time, it is lowered to what the ledger holds.
+        """
         held = ledger.count_accelerators(ids.ProfileName(name))
         if not (share.granted or share.target or held):
             return share
@@ -107,15 +115,17 @@
             return claimed
         wanted = self._view.profiles.get(name)
         if wanted is None:
-            return _lower(claimed, held, 0)
-        each = _count_each(members)
-        need = max(held, share.target * wanted.replica_size * each)
-        if self._is_unusable(wanted, share, ledger, members, now):
-            staying = len(ledger.select(wanted.name))
-            return _lower(claimed, held, min(share.target, staying))
-        return _lower(claimed, need, share.target)
-
-    def _is_unusable(
+            return _lower_grant(claimed, held, 0)
+        accelerators = _get_instance_accelerators(members)
+        needed = max(held, share.target * wanted.replica_size * accelerators)
+        if self._has_timed_out(wanted, share, ledger, members, now):
+            replica_count = len(ledger.select(wanted.name))
+            return _lower_grant(
+                claimed, held, min(share.target, replica_count)
+            )
+        return _lower_grant(claimed, needed, share.target)
+
+    def _has_timed_out(
         self,
         wanted: profile.Profile,
         share: grants.Share,
@@ -123,16 +133,19 @@
         members: abc.Mapping[ids.InstanceId, placement.Member],
         now: float,
     ) -> bool:
-        """Return whether the domain cannot build what it was granted."""
-        staying = len(ledger.select(wanted.name))
-        if share.target <= staying:
+        """Return whether granted replicas were not built in time.
+
+        A domain without enough free instances gets a quarter of the time.
+        """
+        replica_count = len(ledger.select(wanted.name))
+        if share.target <= replica_count:
             self._unused_since.pop(wanted.name, None)
             return False
         since = self._unused_since.setdefault(wanted.name, now)
-        room = _count_room(ledger, members)
-        if room < wanted.replica_size:
-            return now >= since + self._patience / 4
-        return now >= since + self._patience
+        free = _count_free_instances(ledger, members)
+        if free < wanted.replica_size:
+            return now >= since + self._unused_timeout / 4
+        return now >= since + self._unused_timeout
 
     def _write(self, name: str, value: grants.Grants) -> list[part.Action]:
         key = make_key(name)
@@ -146,11 +159,11 @@
     def handle_answer(
         self, answer: messages.PlatformAnswer, now: float
     ) -> list[part.Action]:
-        """Take the answer of a write or of the read that settles it.
+        """Handle the answer of a write.
 
-        A share stays out of use until a write on its grants succeeds: a
-        lost one may still take effect, and only a newer version rules
-        that out.
+        A share stays out of use until a write of its grants succeeds. A
+        write whose answer was lost may still take effect, and only a newer
+        version rules that out.
         """
         self._call = None
         key = make_key(self._profile)
@@ -167,24 +180,27 @@
         return [actions.Tell(configuration.Refresh(key))]
 
 
-def _lower(share: grants.Share, granted: int, target: int) -> grants.Share:
-    """Return the share with less granted; never with more."""
+def _lower_grant(
+    share: grants.Share, granted: int, target: int
+) -> grants.Share:
+    """Return the share with a new target, and less granted but never more."""
     return msgspec.structs.replace(
         share, granted=min(share.granted, granted), target=target
     )
 
 
-def _count_each(
+def _get_instance_accelerators(
     members: abc.Mapping[ids.InstanceId, placement.Member],
 ) -> int:
-    return max((m.accelerators for m in members.values()), default=0)
+    """Return the accelerators of one instance, 0 without members."""
+    return max((member.accelerators for member in members.values()), default=0)
 
 
-def _count_room(
+def _count_free_instances(
     ledger: domain.Domain,
     members: abc.Mapping[ids.InstanceId, placement.Member],
 ) -> int:
-    """Return the healthy instances that no replica owns."""
+    """Return the number of healthy, staying instances in no replica."""
     return sum(
         1
         for member in members.values()
