--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -1,7 +1,8 @@
-"""A whole session through the pure parts, compared with a golden file.
+"""Sessions through the parts without I/O, compared with golden files.
 
-``UPDATE_GOLDEN=1 python -m tests tests.test_session`` writes the files
-anew; the change is then reviewed like any other.
+They guard against unintended changes of behaviour. Run
+``UPDATE_GOLDEN=1 python -m tests tests.test_session`` to rewrite the
+files, and review the difference like any other change.
 """
 
 import os
@@ -23,7 +24,7 @@
     actions.SendOrder,
     actions.WriteObject,
 )
-_PROFILE = """
+_COUNTER_PROFILE = """
 [profile counter]
 model = aftercare
 replicas = 2
@@ -32,8 +33,8 @@
 """
 
 
-def describe(action: part.Action) -> str:
-    """Return one line of an action."""
+def format_action(action: part.Action) -> str:
+    """Return an action as one line of text."""
     if isinstance(action, actions.Record):
         text = f"{action.kind.value} {action.subject} {action.detail}"
         return f"record {text}".rstrip()
@@ -49,24 +50,28 @@
     return f"reply {action}"
 
 
-def render(world: virtual.World) -> str:
-    """Return what all nodes were asked and did, in order of time."""
+def render_trace(world: virtual.World) -> str:
+    """Return the messages and actions of all nodes in order of time."""
     lines = []
     for host in world.hosts.values():
         for at, message, found in host.trace:
-            shown = [one for one in found if isinstance(one, _SHOWN_ACTIONS)]
+            shown = [
+                action
+                for action in found
+                if isinstance(action, _SHOWN_ACTIONS)
+            ]
             if not shown:
                 continue
             topic = message.topic.__name__
             lines.append((at, f"{at:9.4f} {host.name} <- {topic}"))
             for action in shown:
-                text = f"{at:9.4f} {host.name}    {describe(action)}"
+                text = f"{at:9.4f} {host.name}    {format_action(action)}"
                 lines.append((at, text))
     lines.sort(key=lambda line: line[0])
     return "\n".join(line for _, line in lines) + "\n"
 
 
-_GATE = """
+_GATE_PROFILE = """
 [profile gate]
 model = manifest
 service_class = critical
@@ -79,7 +84,7 @@
 class SessionTest(unittest.TestCase):
     maxDiff = None
 
-    def compare(self, name: str, text: str) -> None:
+    def compare_with_golden(self, name: str, text: str) -> None:
         path = _GOLDEN / name
         if os.environ.get("UPDATE_GOLDEN"):
             path.parent.mkdir(exist_ok=True)
@@ -87,9 +92,10 @@
         self.assertEqual(path.read_text(), text)
 
     def test_fischmehlwerk_day(self) -> None:
-        # A lot is booked at the gate, asked for again elsewhere, the
-        # platform goes down, another lot is booked, and the home of the
-        # first one dies. The engines ignore fencing numbers.
+        # Failure: a booking that is requested again runs a second time,
+        # at another entry or after the entry that keeps its key has died,
+        # or a new one is refused while the platform is down. The engines
+        # ignore fencing numbers.
         domains = [
             sites.DomainSpec(
                 name="fa",
@@ -107,30 +113,30 @@
         sites.add_service(world, "b1", "bookings", "passau")
         world.run(6.0)
         p1, n1 = world.hosts[ids.NodeId("p1")], world.hosts[ids.NodeId("n1")]
-        sites.put_profile(n1, sites.parse(_GATE))
+        sites.put_profile(n1, sites.parse(_GATE_PROFILE))
         world.run(30.0)
         prefix = p1.node.homes.make_prefix(world.now)
-        self.book(p1, 11, prefix + "lot-1")
-        self.book(n1, 12, prefix + "lot-1")
+        self.request_booking(p1, 11, prefix + "lot-1")
+        self.request_booking(n1, 12, prefix + "lot-1")
         world.platform.down = True
         world.run(50.0)
-        self.book(p1, 13, prefix + "lot-2")
+        self.request_booking(p1, 13, prefix + "lot-2")
         p1.kill()
         world.run(60.0)
-        self.book(n1, 14, prefix + "lot-1")
+        self.request_booking(n1, 14, prefix + "lot-1")
         world.platform.down = False
         world.run(90.0)
         kinds = [
             host.replies[ticket].kind.value  # type: ignore[attr-defined]
             for host, ticket in ((p1, 11), (n1, 12), (p1, 13), (n1, 14))
         ]
-        wanted = ["dispatch", "forward", "dispatch", "unknown"]
-        self.assertEqual(wanted, kinds)
-        self.compare("fischmehlwerk_day.txt", render(world))
+        expected = ["dispatch", "forward", "dispatch", "unknown"]
+        self.assertEqual(expected, kinds)
+        self.compare_with_golden("fischmehlwerk_day.txt", render_trace(world))
 
     @staticmethod
-    def book(host: virtual.Host, ticket: int, key: str) -> None:
-        """Offer a booking; if it is dispatched, it runs at once."""
+    def request_booking(host: virtual.Host, ticket: int, key: str) -> None:
+        """Offer a booking, and end it at once if it is dispatched."""
         name = ids.KeyText(key)
         scope = "intake/bookings"
         host.tell(homes.CallOffered(ticket, name, scope, 1))
@@ -142,8 +148,9 @@
             host.tell(homes.CallEnded(name, scope, done, answer))
 
     def test_northgate_day(self) -> None:
-        # Three entries start, an operator applies a profile, two replicas
-        # form; a member of one dies and is replaced by the spare.
+        # Failure: a profile is not in force on every entry or its two
+        # replicas do not form, or a member that dies is not replaced by
+        # the spare instance.
         domains = [
             sites.DomainSpec(name="fa", datacentre="regina", engines=3),
             sites.DomainSpec(name="fb", datacentre="winnipeg", engines=3),
@@ -151,7 +158,9 @@
         entries = {"r1": "regina", "r2": "regina", "w1": "winnipeg"}
         world = sites.make_site(entries, domains, tracing=True)
         world.run(6.0)
-        sites.put_profile(world.hosts[ids.NodeId("w1")], sites.parse(_PROFILE))
+        sites.put_profile(
+            world.hosts[ids.NodeId("w1")], sites.parse(_COUNTER_PROFILE)
+        )
         world.run(30.0)
         reply = world.hosts[ids.NodeId("w1")].replies[1]
         self.assertEqual(edits.EditOutcome.ACCEPTED, reply.outcome)
@@ -160,4 +169,4 @@
             self.assertIn("counter-", getattr(route, "subject", str(route)))
         world.engines[ids.InstanceId("fa-1")].alive = False
         world.run(60.0)
-        self.compare("northgate_day.txt", render(world))
+        self.compare_with_golden("northgate_day.txt", render_trace(world))
