--- a/currantwall/coordination/profiles/edits.py
+++ b/currantwall/coordination/profiles/edits.py
@@ -37,8 +37,8 @@
     Attributes:
         ACCEPTED: Stored and in force on every live node.
         STORED: Stored; some live nodes have not acknowledged it in time.
-        CONFLICT: Not stored: the object has another version than expected.
-        NOT_STORED: Not stored: the platform was not reached.
+        CONFLICT: The object has another version than expected.
+        NOT_STORED: The platform was not reached, so nothing was stored.
         UNKNOWN: The deadline passed before the outcome was known.
     """
 
--- a/currantwall/coordination/profiles/shares.py
+++ b/currantwall/coordination/profiles/shares.py
@@ -102,10 +102,11 @@
     ) -> grants.Share:
         """Return the share that the holder has to write.
 
-        A share of another epoch is only claimed. Otherwise the grant is
-        lowered to what the target needs, but not below what the ledger
-        holds. For a deleted profile, or where replicas were not built in
-        time, it is lowered to what the ledger holds.
+        An empty share is left as it is, and a share of another epoch is
+        only claimed. Otherwise the grant is lowered to what the target
+        needs, but not below what the ledger holds. For a deleted profile,
+        or where replicas were not built in time, it is lowered to what the
+        ledger holds.
         """
         held = ledger.count_accelerators(ids.ProfileName(name))
         if not (share.granted or share.target or held):
@@ -133,9 +134,10 @@
         members: abc.Mapping[ids.InstanceId, placement.Member],
         now: float,
     ) -> bool:
-        """Return whether granted replicas were not built in time.
+        """Return whether the target has been unmet for the whole timeout.
 
-        A domain without enough free instances gets a quarter of the time.
+        A domain without enough free instances for one replica gets a
+        quarter of the timeout.
         """
         replica_count = len(ledger.select(wanted.name))
         if share.target <= replica_count:
