--- a/currantwall/coordination/replicas/placement.py
+++ b/currantwall/coordination/replicas/placement.py
@@ -96,7 +96,7 @@
     """How broken replicas are mended; see `register_policy`."""
 
     def __call__(
-        self, broken: abc.Sequence[repair.Broken], situation: Situation
+        self, broken: abc.Sequence[repair.BrokenReplica], situation: Situation
     ) -> abc.Mapping[ids.ReplicaId, repair.Repair]:
         """Return the repair of each broken replica."""
         raise NotImplementedError
@@ -118,7 +118,7 @@
 
 @register_policy("weighted")
 def _mend_weighted(
-    broken: abc.Sequence[repair.Broken], situation: Situation
+    broken: abc.Sequence[repair.BrokenReplica], situation: Situation
 ) -> abc.Mapping[ids.ReplicaId, repair.Repair]:
     """Mend at the least expected cost."""
     spares = len(list_free(situation))
@@ -127,10 +127,10 @@
 
 @register_policy("dissolve")
 def _mend_by_dissolving(
-    broken: abc.Sequence[repair.Broken], situation: Situation
+    broken: abc.Sequence[repair.BrokenReplica], situation: Situation
 ) -> abc.Mapping[ids.ReplicaId, repair.Repair]:
     """Dissolve at once and rebuild wherever there is room: the baseline."""
-    return {one.replica: repair.Repair.DISSOLVE for one in broken}
+    return {replica.id: repair.Repair.DISSOLVE for replica in broken}
 
 
 # -- Questions about the situation
@@ -369,7 +369,7 @@
 
 def _describe(
     replica: domain.Replica, situation: Situation
-) -> repair.Broken | None:
+) -> repair.BrokenReplica | None:
     """Return what is broken of a replica, None if it is whole."""
     if replica.phase is Phase.DRAINING:
         return None
@@ -377,8 +377,8 @@
     if not losses:
         return None
     wanted = situation.profiles.get(replica.profile)
-    return repair.Broken(
-        replica=replica.id,
+    return repair.BrokenReplica(
+        id=replica.id,
         healthy=len(replica.members) - len(losses),
         losses=losses,
         accelerators=replica.accelerators // len(replica.members),
@@ -388,7 +388,7 @@
     )
 
 
-def _is_fresh(broken: repair.Broken, situation: Situation) -> bool:
+def _is_fresh(broken: repair.BrokenReplica, situation: Situation) -> bool:
     """Return whether a loss is too new to be judged.
 
     Failure: a whole domain goes dark, its instances are missed one after
@@ -403,8 +403,8 @@
 
 
 def _note_replaceable(
-    broken: abc.Sequence[repair.Broken], situation: Situation
-) -> list[repair.Broken]:
+    broken: abc.Sequence[repair.BrokenReplica], situation: Situation
+) -> list[repair.BrokenReplica]:
     """Note for which replicas free instances could be had later.
 
     The healthy members of other broken replicas count: those could be
--- a/currantwall/coordination/replicas/repair.py
+++ b/currantwall/coordination/replicas/repair.py
@@ -1,14 +1,15 @@
-"""What to do about broken replicas of one domain.
-
-A broken replica can wait for its lost members, take spares in their
-place, or be dissolved so that its healthy members serve as spares for
-another one or for a replica elsewhere. The three are weighed together
-for all broken replicas of the domain, by expected group downtime and
-stranded accelerators over a horizon, with the weights of the profiles.
-
-The only thing the choices share is the pool of free instances, a number;
-so the cheapest combination is found exactly by running over the replicas
-once for each size of the pool.
+"""Choosing repairs for the broken replicas of one domain.
+
+A broken replica can wait for its lost members, replace them by free
+instances, or be dissolved, so that its healthy members become free for
+another replica of this domain or of another one. The repairs of all
+broken replicas of the domain are chosen together. The cost of a
+combination is the expected downtime of the replicas plus the time that
+accelerators stand idle over a horizon, with the weights of the profiles.
+
+The choices affect each other only through the number of free instances.
+Dynamic programming over the replicas, with one state for each number of
+free instances, therefore finds the cheapest combination exactly.
 """
 
 from collections import abc
@@ -21,41 +22,43 @@
 from currantwall.state import settings as settings_module
 
 __all__ = [
-    "Broken",
+    "BrokenReplica",
     "Health",
     "Loss",
     "Repair",
     "choose_repairs",
-    "estimate_return",
-    "weigh",
+    "estimate_cost",
+    "estimate_return_time",
 ]
 
 
-# How long to wait for silent members, in mean pauses; tried in turn.
-_PATIENCE_STEPS = (0.1, 0.25, 0.5, 1.0, 1.5, 2.0, 3.0, 4.0, 6.0)
+# Limits on the wait for silent members that are compared, as multiples of
+# the mean pause.
+_WAIT_LIMITS = (0.1, 0.25, 0.5, 1.0, 1.5, 2.0, 3.0, 4.0, 6.0)
 
 
 class Health(enum.Enum):
-    """What is known of an instance."""
+    """Condition of an instance as far as its domain's holder knows."""
 
     HEALTHY = "healthy"
-    # No answer: paused, cut off, or dead.
+    # No answer: paused, unreachable or dead.
     SILENT = "silent"
-    # The process is gone or came back empty: it must load again.
+    # The process ended or restarted without its model: it must load it again.
     EMPTY = "empty"
-    # Off the platform's list.
+    # No longer in the platform's list of instances.
     GONE = "gone"
-    # Nothing heard yet.
+    # Not reported since this node became the holder.
     UNKNOWN = "unknown"
 
 
 class Loss(msgspec.Struct, frozen=True):
-    """One lost member.
+    """One lost member of a replica.
 
     Attributes:
-        seconds: Time since it was found lost.
-        returned: Whether the instance is back, empty.
-        correlated: Whether most of the domain was lost with it.
+        seconds: Seconds since the loss was detected.
+        returned: Whether the instance answers again, without its model.
+        correlated: Whether most instances of the domain are silent at the
+            same time.
     """
 
     health: Health
@@ -64,18 +67,18 @@
     correlated: bool = False
 
 
-class Broken(msgspec.Struct, frozen=True, kw_only=True):
-    """A replica that cannot serve.
+class BrokenReplica(msgspec.Struct, frozen=True, kw_only=True):
+    """A replica that cannot serve because members are lost.
 
     Attributes:
-        healthy: Members that are still there.
+        healthy: Number of healthy members.
         accelerators: Accelerators of one instance.
-        movable: Whether another domain has room for it.
-        replaceable: Whether the domain has a free instance for every
-            lost member, should waiting turn out to be in vain.
+        movable: Whether another domain has enough idle instances for it.
+        replaceable: Whether the domain can provide a free instance for
+            every lost member if waiting for them fails.
     """
 
-    replica: ids.ReplicaId
+    id: ids.ReplicaId
     healthy: int
     losses: tuple[Loss, ...]
     accelerators: int
@@ -86,49 +89,53 @@
 
     @property
     def missing(self) -> int:
-        """Return the members that a spare must take the place of.
+        """Return the number of members that need a replacement.
 
-        One that is back but empty needs no spare, only a new generation.
+        A member that has returned without its model needs none: it loads
+        the model again in a new generation of the replica.
         """
         return sum(1 for loss in self.losses if not loss.returned)
 
     @property
     def size(self) -> int:
-        """Return the members of the replica, lost ones included."""
+        """Return the number of members, lost ones included."""
         return self.healthy + len(self.losses)
 
 
 class Repair(enum.Enum):
-    """What is done about a broken replica."""
+    """Ways to handle a broken replica."""
 
     WAIT = "wait"
     REPLACE = "replace"
     DISSOLVE = "dissolve"
 
 
-def estimate_pause_odds(
+def estimate_pause_probability(
     loss: Loss, settings: settings_module.ReplicasSection
 ) -> float:
     """Return the probability that a silent member is only paused.
 
-    The longer the silence, the less likely a pause: with pauses
-    exponential in length, the odds fall by exp(-t / mean).
+    The longer the silence, the less likely a pause. The length of a pause
+    is taken as exponentially distributed, so the weight of a pause falls
+    by exp(-t / mean).
     """
     if loss.correlated:
-        # Most of the domain fell silent together: it is the network, or
-        # the power, and what comes back comes back as it was.
+        # Most of the domain became silent together, so the cause is the
+        # network or the power, and the instances that return still have
+        # their state.
         return settings.pause_share
-    fading = math.exp(-loss.seconds / settings.pause_time)
-    paused = settings.pause_share * fading
-    return paused / (paused + 1.0 - settings.pause_share + 1e-9)
+    decay = math.exp(-loss.seconds / settings.pause_time)
+    still_paused = settings.pause_share * decay
+    return still_paused / (still_paused + 1.0 - settings.pause_share + 1e-9)
 
 
-def estimate_return(
+def estimate_return_time(
     loss: Loss, settings: settings_module.ReplicasSection
 ) -> float:
     """Return the expected seconds until a lost member serves again.
 
-    A silent member is paused or dead; others must load again.
+    A silent member is paused or dead; members lost in other ways must
+    load the model again.
     """
     load = settings.load_time
     dead = settings.replace_time + load
@@ -137,25 +144,29 @@
     if loss.health is Health.GONE:
         return dead
     if loss.health is Health.EMPTY:
-        left = settings.restart_time - loss.seconds
-        late = -left if left < 0 else 0.0
-        return max(left, late) + load
-    odds = estimate_pause_odds(loss, settings)
-    return odds * settings.pause_time + (1.0 - odds) * dead
+        remaining = settings.restart_time - loss.seconds
+        overdue = -remaining if remaining < 0 else 0.0
+        return max(remaining, overdue) + load
+    pause_probability = estimate_pause_probability(loss, settings)
+    return (
+        pause_probability * settings.pause_time
+        + (1.0 - pause_probability) * dead
+    )
 
 
-def estimate_wait(
-    broken: Broken, settings: settings_module.ReplicasSection
+def estimate_waiting_downtime(
+    broken: BrokenReplica, settings: settings_module.ReplicasSection
 ) -> float:
-    """Return the expected seconds without service while waiting.
+    """Return the expected seconds of downtime if the replica waits.
 
-    Waiting need not be for ever. Where free instances stand ready, or
-    another domain has room, the replica is mended that way after the
-    time that makes the expectation least; a short pause is then waited
-    out, a death costs that time more.
+    The wait can be limited: if the domain has free instances or another
+    domain has room, the replica is repaired that way once a time limit
+    is reached. The limit with the least expected downtime is used. A
+    pause shorter than the limit needs no repair; if a member is dead,
+    the limit adds to the downtime.
     """
-    times = [estimate_return(loss, settings) for loss in broken.losses]
-    patient = max(times, default=0.0)
+    times = [estimate_return_time(loss, settings) for loss in broken.losses]
+    full_wait = max(times, default=0.0)
     silent = all(
         loss.health is Health.SILENT and not loss.returned
         for loss in broken.losses
@@ -165,65 +176,80 @@
         settings.move_time if broken.movable else math.inf,
     )
     if not silent or math.isinf(fallback):
-        return patient
-    odds = min(
-        (estimate_pause_odds(loss, settings) for loss in broken.losses),
+        return full_wait
+    pause_probability = min(
+        (estimate_pause_probability(loss, settings) for loss in broken.losses),
         default=1.0,
     )
-    mean = settings.pause_time
-    best = patient
-    for step in _PATIENCE_STEPS:
-        limit = step * mean
-        over = math.exp(-step)
-        returned = odds * (1.0 - over)
-        within = odds * (mean * (1.0 - over) - limit * over)
-        late = (1.0 - returned) * (limit + fallback)
-        best = min(best, within + late)
+    mean_pause = settings.pause_time
+    best = full_wait
+    for ratio in _WAIT_LIMITS:
+        limit = ratio * mean_pause
+        exceed_probability = math.exp(-ratio)
+        return_probability = pause_probability * (1.0 - exceed_probability)
+        pause_downtime = pause_probability * (
+            mean_pause * (1.0 - exceed_probability)
+            - limit * exceed_probability
+        )
+        fallback_downtime = (1.0 - return_probability) * (limit + fallback)
+        best = min(best, pause_downtime + fallback_downtime)
     return best
 
 
-def weigh(
-    broken: Broken,
+def estimate_cost(
+    broken: BrokenReplica,
     repair: Repair,
     settings: settings_module.ReplicasSection,
 ) -> float:
-    """Return the expected cost of one repair over the horizon."""
+    """Return the expected cost of one repair over the horizon.
+
+    The unit is seconds, weighted by the profile: downtime by
+    `downtime_weight`, idle time of each accelerator by `stranded_weight`.
+    """
     horizon = settings.horizon
     if repair is Repair.WAIT and not broken.missing:
-        # Nobody is awaited: the members are back and must load.
+        # All lost members have returned and need a new generation to load
+        # in; waiting changes nothing.
         down = horizon
         idle = broken.size * down
     elif repair is Repair.WAIT:
-        down = min(estimate_wait(broken, settings), horizon)
+        down = min(estimate_waiting_downtime(broken, settings), horizon)
         idle = broken.healthy * down
     elif repair is Repair.REPLACE:
         down = min(settings.load_time, horizon)
         idle = broken.size * down
     else:
-        away = settings.move_time if broken.movable else horizon
-        down = min(away, horizon)
-        # Its members count in the pool; where it moves to, as many stop
-        # being idle.
+        move_downtime = settings.move_time if broken.movable else horizon
+        down = min(move_downtime, horizon)
+        # The released members are counted by `estimate_pool_cost`. A
+        # replica that moves uses as many idle instances elsewhere, which
+        # is credited here.
         idle = -broken.size * (horizon - down) if broken.movable else 0.0
     stranded = idle * broken.accelerators * broken.stranded_weight
     return broken.downtime_weight * down + stranded
 
 
-def weigh_pool(
-    left: int,
-    broken: abc.Sequence[Broken],
+def estimate_pool_cost(
+    free: int,
+    broken: abc.Sequence[BrokenReplica],
     settings: settings_module.ReplicasSection,
 ) -> float:
-    """Return the cost of instances that stay free over the horizon."""
-    each = max(
-        (one.accelerators * one.stranded_weight for one in broken),
+    """Return the cost of instances that stay free over the horizon.
+
+    Args:
+        free: Number of free instances.
+        broken: The broken replicas; the highest weight among them counts.
+        settings: The horizon.
+    """
+    unit_cost = max(
+        (replica.accelerators * replica.stranded_weight for replica in broken),
         default=0.0,
     )
-    return left * each * settings.horizon
+    return free * unit_cost * settings.horizon
 
 
-def _change_pool(broken: Broken, repair: Repair) -> int:
-    """Return by how many instances a repair changes the pool."""
+def _count_pool_change(broken: BrokenReplica, repair: Repair) -> int:
+    """Return by how much a repair changes the number of free instances."""
     if repair is Repair.REPLACE:
         return -broken.missing
     if repair is Repair.DISSOLVE:
@@ -231,54 +257,56 @@
     return 0
 
 
-class _Path(msgspec.Struct, frozen=True):
-    """The cheapest choices that leave one size of the pool."""
+class _Combination(msgspec.Struct, frozen=True):
+    """The cheapest repairs that leave one number of free instances."""
 
     cost: float
     repairs: tuple[Repair, ...]
 
 
 def choose_repairs(
-    broken: abc.Sequence[Broken],
+    broken: abc.Sequence[BrokenReplica],
     spares: int,
     settings: settings_module.ReplicasSection,
 ) -> dict[ids.ReplicaId, Repair]:
-    """Return the cheapest repair of each broken replica.
+    """Return the repairs with the least expected cost in total.
 
     Args:
         broken: The broken replicas of one domain.
         spares: Free healthy instances of the domain.
-        settings: Expected times.
+        settings: Expected times, in seconds.
     """
-    paths = {spares: _Path(0.0, ())}
-    for one in broken:
-        paths = _extend(paths, one, settings)
+    combinations = {spares: _Combination(0.0, ())}
+    for replica in broken:
+        combinations = _add_replica(combinations, replica, settings)
     best: tuple[float, tuple[Repair, ...]] | None = None
-    for left, path in sorted(paths.items()):
-        if left < 0:
+    for free, combination in sorted(combinations.items()):
+        if free < 0:
             continue
-        total = path.cost + weigh_pool(left, broken, settings)
+        total = combination.cost + estimate_pool_cost(free, broken, settings)
         if best is None or total < best[0]:
-            best = (total, path.repairs)
+            best = (total, combination.repairs)
     chosen = best[1] if best else ()
     return {
-        one.replica: repair for one, repair in zip(broken, chosen, strict=True)
+        replica.id: repair
+        for replica, repair in zip(broken, chosen, strict=True)
     }
 
 
-def _extend(
-    paths: dict[int, _Path],
-    broken: Broken,
+def _add_replica(
+    combinations: dict[int, _Combination],
+    broken: BrokenReplica,
     settings: settings_module.ReplicasSection,
-) -> dict[int, _Path]:
-    found: dict[int, _Path] = {}
+) -> dict[int, _Combination]:
+    """Return the cheapest combinations with one more replica repaired."""
+    cheapest: dict[int, _Combination] = {}
     for repair in Repair:
-        cost = weigh(broken, repair, settings)
-        change = _change_pool(broken, repair)
-        for left, path in paths.items():
-            total = path.cost + cost
-            held = found.get(left + change)
-            if held is None or total < held.cost:
-                repairs = (*path.repairs, repair)
-                found[left + change] = _Path(total, repairs)
-    return found
+        cost = estimate_cost(broken, repair, settings)
+        change = _count_pool_change(broken, repair)
+        for free, combination in combinations.items():
+            total = combination.cost + cost
+            known = cheapest.get(free + change)
+            if known is None or total < known.cost:
+                repairs = (*combination.repairs, repair)
+                cheapest[free + change] = _Combination(total, repairs)
+    return cheapest
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -450,8 +450,8 @@
     Mutant(
         "spares are given to the first",
         f"{_COORDINATION}/replicas/repair.py",
-        "            if held is None or total < held.cost:\n",
-        "            if held is None:\n",
+        "            if known is None or total < known.cost:\n",
+        "            if known is None:\n",
         "tests.test_repair.RepairTest.test_never_dearer_than_brute_force",
     ),
 )
--- a/tests/test_repair.py
+++ b/tests/test_repair.py
@@ -1,4 +1,4 @@
-"""The choice of repairs against a brute-force version."""
+"""Tests the choice of repairs against a brute-force search."""
 
 import itertools
 import unittest
@@ -23,9 +23,9 @@
 
 
 @st.composite
-def _broken(draw: st.DrawFn, number: int) -> repair.Broken:
-    return repair.Broken(
-        replica=ids.ReplicaId(f"r{number}"),
+def _broken_replica(draw: st.DrawFn, number: int) -> repair.BrokenReplica:
+    return repair.BrokenReplica(
+        id=ids.ReplicaId(f"r{number}"),
         healthy=draw(st.integers(0, 4)),
         losses=tuple(draw(st.lists(_LOSSES, min_size=1, max_size=3))),
         accelerators=draw(st.sampled_from((1, 4, 8))),
@@ -35,72 +35,76 @@
     )
 
 
-_SITES = st.integers(1, 4).flatmap(
-    lambda count: st.tuples(*(_broken(number) for number in range(count)))
+_BROKEN_REPLICAS = st.integers(1, 4).flatmap(
+    lambda count: st.tuples(
+        *(_broken_replica(number) for number in range(count))
+    )
 )
 
 
-def _pool_after(
-    broken: tuple[repair.Broken, ...],
+def _count_free_after(
+    broken: tuple[repair.BrokenReplica, ...],
     chosen: tuple[repair.Repair, ...],
     spares: int,
 ) -> int:
-    """Return the free instances, by handing them out one by one."""
+    """Return the free instances left, counted one repair at a time."""
     free = spares
-    for one, choice in zip(broken, chosen, strict=True):
+    for replica, choice in zip(broken, chosen, strict=True):
         if choice is repair.Repair.DISSOLVE:
-            free += one.healthy
-            free += sum(1 for loss in one.losses if loss.returned)
-    for one, choice in zip(broken, chosen, strict=True):
+            free += replica.healthy
+            free += sum(1 for loss in replica.losses if loss.returned)
+    for replica, choice in zip(broken, chosen, strict=True):
         if choice is repair.Repair.REPLACE:
-            free -= sum(1 for loss in one.losses if not loss.returned)
+            free -= sum(1 for loss in replica.losses if not loss.returned)
     return free
 
 
-def _price(
-    broken: tuple[repair.Broken, ...],
+def _compute_cost(
+    broken: tuple[repair.BrokenReplica, ...],
     chosen: tuple[repair.Repair, ...],
     spares: int,
 ) -> float | None:
-    left = _pool_after(broken, chosen, spares)
+    left = _count_free_after(broken, chosen, spares)
     if left < 0:
         return None
     cost = sum(
-        repair.weigh(one, choice, _SETTINGS)
-        for one, choice in zip(broken, chosen, strict=True)
+        repair.estimate_cost(replica, choice, _SETTINGS)
+        for replica, choice in zip(broken, chosen, strict=True)
     )
-    return cost + repair.weigh_pool(left, broken, _SETTINGS)
+    return cost + repair.estimate_pool_cost(left, broken, _SETTINGS)
 
 
 class RepairTest(unittest.TestCase):
-    @given(_SITES, st.integers(0, 4))
+    @given(_BROKEN_REPLICAS, st.integers(0, 4))
     def test_never_dearer_than_brute_force(
-        self, broken: tuple[repair.Broken, ...], spares: int
+        self, broken: tuple[repair.BrokenReplica, ...], spares: int
     ) -> None:
-        # Several replicas of a domain break at once and share its few
-        # free instances. A choice that is made one by one gives the
-        # spare to the wrong one; every combination is tried here.
+        # Failure: several replicas of a domain break at once, and repairs
+        # chosen one by one give the only free instance to the wrong
+        # replica. The expected result comes from trying every combination.
         found = repair.choose_repairs(broken, spares, _SETTINGS)
-        chosen = tuple(found[one.replica] for one in broken)
-        cost = _price(broken, chosen, spares)
+        chosen = tuple(found[replica.id] for replica in broken)
+        cost = _compute_cost(broken, chosen, spares)
         best = min(
-            price
+            candidate
             for combination in itertools.product(
                 repair.Repair, repeat=len(broken)
             )
-            if (price := _price(broken, combination, spares)) is not None
+            if (candidate := _compute_cost(broken, combination, spares))
+            is not None
         )
-        self.assertIsNotNone(cost, "more spares used than there are")
-        # Costs may be negative: a move credits what it takes elsewhere.
+        self.assertIsNotNone(cost, "more free instances used than exist")
+        # Costs may be negative: a move is credited with the idle instances
+        # that it uses elsewhere.
         self.assertLessEqual(cost, best + 1e-9 * abs(best) + 1e-6)
 
     def test_short_pause_is_waited_for_and_long_one_is_not(self) -> None:
-        # A member stalls for some seconds and comes back whole. Taking
-        # its replica apart at once would cost a load; waiting for ever
-        # would leave the gate closed.
+        # Failure: a member pauses for some seconds and returns unchanged.
+        # Dissolving its replica at once costs a load of the model; waiting
+        # without a limit leaves the replica down.
         def choose(seconds: float) -> repair.Repair:
-            broken = repair.Broken(
-                replica=ids.ReplicaId("r"),
+            broken = repair.BrokenReplica(
+                id=ids.ReplicaId("r"),
                 healthy=3,
                 losses=(repair.Loss(repair.Health.SILENT, seconds),),
                 accelerators=4,
@@ -110,19 +114,19 @@
             chosen = repair.choose_repairs((broken,), 1, _SETTINGS)
             return chosen[ids.ReplicaId("r")]
 
-        shares = settings.ReplicasSection(pause_share=0.99)
+        mostly_pauses = settings.ReplicasSection(pause_share=0.99)
         self.assertEqual(repair.Repair.REPLACE, choose(120.0))
-        estimate = repair.estimate_return(
-            repair.Loss(repair.Health.SILENT, 0.0), shares
+        estimate = repair.estimate_return_time(
+            repair.Loss(repair.Health.SILENT, 0.0), mostly_pauses
         )
         self.assertLess(estimate, 30.0)
 
     def test_member_that_is_back_empty_is_not_waited_for(self) -> None:
-        # A process restarts and answers again, with no model loaded. Its
-        # replica stayed down for good: the policy waited for a member
-        # that was there already, because no spare was free.
-        broken = repair.Broken(
-            replica=ids.ReplicaId("r"),
+        # Failure: a process restarts and answers without its model, and no
+        # instance is free. The replica stays down for good, because the
+        # policy waits for a member that has already returned.
+        broken = repair.BrokenReplica(
+            id=ids.ReplicaId("r"),
             healthy=3,
             losses=(repair.Loss(repair.Health.EMPTY, 5.0, returned=True),),
             accelerators=4,
