--- a/currantwall/coordination/replicas/controller.py
+++ b/currantwall/coordination/replicas/controller.py
@@ -349,12 +349,12 @@
             settings=self._settings,
             movable=self._list_movable(),
             drained=self._list_drained(members, now),
-            settled=self._is_settled(members, now),
+            stable=self._is_stable(members, now),
             correlated=sightings.is_correlated(members),
         )
         return placement.plan(situation, self._policy)
 
-    def _is_settled(
+    def _is_stable(
         self,
         members: dict[ids.InstanceId, placement.Member],
         now: float,
--- a/currantwall/coordination/replicas/placement.py
+++ b/currantwall/coordination/replicas/placement.py
@@ -1,10 +1,10 @@
-"""One step of the plan for one fabric domain.
+"""One planning step for one fabric domain.
 
-`plan` takes the ledger and all that is known of the domain and returns
-the ledger as it should be. It decides which replicas are formed, given
-a new generation, drained or dissolved; it performs nothing. The holder
-of the lease stores the result by one conditional update and only then
-sends the orders that `list_orders` derives from the ledger.
+`plan` takes the ledger and the known state of the domain and returns the
+next ledger. It decides which replicas are formed, given a new generation,
+drained or dissolved, and has no side effects. The holder of the lease
+stores the result by one conditional update and only then sends the
+orders that `orders.Orders.list_due` derives from the stored ledger.
 """
 
 from collections import abc
@@ -36,20 +36,21 @@
     """What the holder knows of one instance of the domain.
 
     Attributes:
-        lost_for: Seconds since it was found lost.
-        leaving: Whether a planned stop or the platform takes it away.
+        lost_seconds: Seconds since the loss was detected, 0 if not lost.
+        leaving: Whether a planned stop covers it or the platform removes
+            it.
     """
 
     id: ids.InstanceId
     accelerators: int
     health: repair.Health
     report: instances.Report | None = None
-    lost_for: float = 0.0
+    lost_seconds: float = 0.0
     leaving: bool = False
 
     @property
     def is_free(self) -> bool:
-        """Return whether it is healthy and says it serves nothing."""
+        """Return whether it is healthy, stays and reports no replica."""
         return (
             self.health is repair.Health.HEALTHY
             and self.report is not None
@@ -58,7 +59,7 @@
         )
 
     def runs(self, replica: domain.Replica) -> bool:
-        """Return whether it reports this very generation as ready."""
+        """Return whether it reports this generation as ready."""
         report = self.report
         return (
             self.health is repair.Health.HEALTHY
@@ -70,15 +71,18 @@
 
 
 class Situation(msgspec.Struct, frozen=True, kw_only=True):
-    """All that one step of the plan rests on.
+    """The input of one planning step.
 
     Attributes:
-        shares: What the domain may hold, by profile; only shares that
-            were claimed under the holder's own epoch.
-        movable: Profiles that another domain has room for.
+        shares: What the domain may hold, by profile. Contains only
+            shares that were claimed under the holder's own epoch.
+        movable: Profiles for which another domain has enough idle
+            instances.
         drained: Replicas whose drain has ended.
-        settled: Whether the holder has heard enough to judge losses.
-        correlated: Whether most of the domain is lost at once.
+        stable: Whether the reports are complete and steady enough to
+            judge losses.
+        correlated: Whether most instances of the domain are silent at the
+            same time.
     """
 
     ledger: domain.Domain
@@ -88,12 +92,12 @@
     settings: settings_module.ReplicasSection
     movable: frozenset[str] = frozenset()
     drained: frozenset[ids.ReplicaId] = frozenset()
-    settled: bool = True
+    stable: bool = True
     correlated: bool = False
 
 
 class Policy(typing.Protocol):
-    """How broken replicas are mended; see `register_policy`."""
+    """Chooses repairs of broken replicas; see `register_policy`."""
 
     def __call__(
         self, broken: abc.Sequence[repair.BrokenReplica], situation: Situation
@@ -107,7 +111,7 @@
 
 
 def register_policy(name: str) -> abc.Callable[[_T], _T]:
-    """Register a way of mending broken replicas under a name."""
+    """Register a repair policy under a name."""
 
     def add(policy: _T) -> _T:
         _POLICIES[name] = policy
@@ -117,27 +121,30 @@
 
 
 @register_policy("weighted")
-def _mend_weighted(
+def _repair_at_least_cost(
     broken: abc.Sequence[repair.BrokenReplica], situation: Situation
 ) -> abc.Mapping[ids.ReplicaId, repair.Repair]:
-    """Mend at the least expected cost."""
+    """Choose the repairs with the least expected cost."""
     spares = len(list_free(situation))
     return repair.choose_repairs(broken, spares, situation.settings)
 
 
 @register_policy("dissolve")
-def _mend_by_dissolving(
+def _repair_by_dissolving(
     broken: abc.Sequence[repair.BrokenReplica], situation: Situation
 ) -> abc.Mapping[ids.ReplicaId, repair.Repair]:
-    """Dissolve at once and rebuild wherever there is room: the baseline."""
+    """Dissolve every broken replica at once; the baseline in comparisons.
+
+    The replicas are formed again in any domain that has room.
+    """
     return {replica.id: repair.Repair.DISSOLVE for replica in broken}
 
 
-# -- Questions about the situation
+# -- Queries
 
 
 def list_free(situation: Situation) -> list[Member]:
-    """Return the instances that a replica can be built from."""
+    """Return the free instances that no replica owns, sorted by id."""
     owned = {
         member
         for replica in situation.ledger.replicas
@@ -165,7 +172,7 @@
 
 
 def is_current(replica: domain.Replica, wanted: profile.Profile) -> bool:
-    """Return whether a replica is what its profile asks for."""
+    """Return whether model, version and size match the profile."""
     return (
         replica.model == wanted.model
         and replica.model_version == wanted.model_version
@@ -173,11 +180,11 @@
     )
 
 
-def is_doomed(
+def has_leaving_member(
     replica: domain.Replica,
     members: abc.Mapping[ids.InstanceId, Member],
 ) -> bool:
-    """Return whether a planned stop takes one of its members."""
+    """Return whether a member is about to be stopped or removed."""
     return any(
         member in members and members[member].leaving
         for member in replica.members
@@ -188,63 +195,74 @@
     replica: domain.Replica, situation: Situation
 ) -> tuple[repair.Loss, ...]:
     """Return the lost members of a replica."""
-    found = []
-    for name in replica.members:
-        member = situation.members.get(name)
+    losses = []
+    for instance in replica.members:
+        member = situation.members.get(instance)
         if member is None:
-            found.append(repair.Loss(repair.Health.GONE))
+            losses.append(repair.Loss(repair.Health.GONE))
         elif member.health is repair.Health.UNKNOWN:
             continue
         elif member.health is not repair.Health.HEALTHY:
-            found.append(
+            losses.append(
                 repair.Loss(
                     member.health,
-                    member.lost_for,
+                    member.lost_seconds,
                     correlated=situation.correlated,
                 )
             )
         elif replica.phase is Phase.SERVING and not member.runs(replica):
-            # It answers, but not as a member of this generation: it has
-            # restarted and must load again.
+            # It answers, but does not report this generation as ready:
+            # it has restarted and must load the model again.
             empty = repair.Health.EMPTY
-            found.append(repair.Loss(empty, returned=True))
-    return tuple(found)
+            losses.append(repair.Loss(empty, returned=True))
+    return tuple(losses)
 
 
-# -- The plan
+# -- Planning
 
 
 def plan(situation: Situation, policy: str = "weighted") -> domain.Domain:
-    """Return the ledger as it should be."""
+    """Return the next ledger.
+
+    Args:
+        situation: The current ledger and the state of the domain.
+        policy: Name of a registered repair policy.
+    """
     ledger = _finish_drains(situation)
-    situation = _with(situation, ledger)
-    if situation.settled:
-        situation = _with(situation, _mend(situation, policy))
-        situation = _with(situation, _drain_surplus(situation))
-        situation = _with(situation, _rework(situation))
-        situation = _with(situation, _form(situation))
-        situation = _with(situation, _change_adapters(situation))
-    ledger = _promote(situation)
-    return _note_idle(_with(situation, ledger))
-
-
-def _with(situation: Situation, ledger: domain.Domain) -> Situation:
+    situation = _replace_ledger(situation, ledger)
+    if situation.stable:
+        situation = _replace_ledger(
+            situation, _repair_broken_replicas(situation, policy)
+        )
+        situation = _replace_ledger(situation, _drain_surplus(situation))
+        situation = _replace_ledger(situation, _drain_outdated(situation))
+        situation = _replace_ledger(
+            situation, _form_missing_replicas(situation)
+        )
+        situation = _replace_ledger(situation, _change_adapters(situation))
+    ledger = _promote_formed(situation)
+    return _update_idle(_replace_ledger(situation, ledger))
+
+
+def _replace_ledger(situation: Situation, ledger: domain.Domain) -> Situation:
     return msgspec.structs.replace(situation, ledger=ledger)
 
 
 def _finish_drains(situation: Situation) -> domain.Domain:
-    """Dissolve the drained, or give them a new generation in place."""
+    """Dissolve or renew replicas that are drained or lost a member."""
     ledger = situation.ledger
     for replica in ledger.replicas:
         if replica.phase is not Phase.DRAINING:
             continue
         lost = list_losses(replica, situation)
         if replica.id in situation.drained or lost:
-            ledger = _replace_or_remove(_with(situation, ledger), replica)
+            ledger = _renew_or_remove(
+                _replace_ledger(situation, ledger), replica
+            )
     return ledger
 
 
-def _replace_or_remove(
+def _renew_or_remove(
     situation: Situation, replica: domain.Replica
 ) -> domain.Domain:
     ledger = situation.ledger.remove(replica.id)
@@ -252,13 +270,18 @@
     wanted = situation.profiles.get(replica.profile)
     if share is None or wanted is None:
         return ledger
-    staying = _count_staying(ledger, replica.profile)
-    if staying >= share.target:
+    remaining = _count_not_draining(ledger, replica.profile)
+    if remaining >= share.target:
         return ledger
-    return _renew(_with(situation, ledger), replica, wanted) or ledger
+    return (
+        _form_next_generation(
+            _replace_ledger(situation, ledger), replica, wanted
+        )
+        or ledger
+    )
 
 
-def _count_staying(ledger: domain.Domain, name: ids.ProfileName) -> int:
+def _count_not_draining(ledger: domain.Domain, name: ids.ProfileName) -> int:
     return sum(
         1
         for replica in ledger.select(name)
@@ -266,46 +289,46 @@
     )
 
 
-def _renew(
+def _form_next_generation(
     situation: Situation,
     replica: domain.Replica,
     wanted: profile.Profile,
 ) -> domain.Domain | None:
     """Return the ledger with a new generation of a removed replica.
 
-    Members that are healthy and stay keep their rank, because an engine
-    holds the part of the model that belongs to it; free instances take
-    the other ranks. None when there are not enough.
+    Healthy members that are not leaving keep their rank, because an
+    engine holds the part of the model that belongs to its rank. Free
+    instances take the other ranks. Returns None if there are too few.
     """
-    staying = {
-        name: member
-        for name in replica.members
-        if (member := situation.members.get(name)) is not None
+    healthy = {
+        instance: member
+        for instance in replica.members
+        if (member := situation.members.get(instance)) is not None
         and member.health is repair.Health.HEALTHY
         and not member.leaving
     }
-    ranks = replica.members[: wanted.replica_size]
+    by_rank = replica.members[: wanted.replica_size]
     surplus = replica.members[wanted.replica_size :]
-    kept = [staying.get(name) for name in ranks]
+    kept = [healthy.get(instance) for instance in by_rank]
     kept += [None] * (wanted.replica_size - len(kept))
-    spare = [staying[name] for name in surplus if name in staying]
-    free = [m for m in list_free(situation) if m.id not in staying]
+    spare = [healthy[instance] for instance in surplus if instance in healthy]
+    free = [m for m in list_free(situation) if m.id not in healthy]
     pool = iter(spare + free)
     chosen = [member or next(pool, None) for member in kept]
-    whole = [member for member in chosen if member is not None]
-    return _place(situation, replica.id, wanted, whole)
+    members = [member for member in chosen if member is not None]
+    return _form_replica(situation, replica.id, wanted, members)
 
 
-def _place(
+def _form_replica(
     situation: Situation,
-    name: ids.ReplicaId,
+    replica_id: ids.ReplicaId,
     wanted: profile.Profile,
     chosen: abc.Sequence[Member],
 ) -> domain.Domain | None:
     """Return the ledger with one replica formed, None if it may not be.
 
-    The accelerators held never pass what was granted, so the bill never
-    passes the profile's capacity.
+    The accelerators held never exceed what was granted, so the profile
+    is never billed for more than its capacity.
     """
     ledger = situation.ledger
     share = situation.shares.get(wanted.name)
@@ -317,7 +340,7 @@
         return None
     generation = ids.Generation(ledger.last_generation + 1)
     replica = domain.Replica(
-        id=name,
+        id=replica_id,
         profile=wanted.name,
         generation=generation,
         members=tuple(member.id for member in chosen),
@@ -330,47 +353,56 @@
     return msgspec.structs.replace(placed, last_generation=generation)
 
 
-# -- Mending
+# -- Repairs
 
 
-def _mend(situation: Situation, policy: str) -> domain.Domain:
+def _repair_broken_replicas(
+    situation: Situation, policy: str
+) -> domain.Domain:
     broken = [
-        one
+        described
         for replica in situation.ledger.replicas
-        if (one := _describe(replica, situation)) is not None
+        if (described := _describe_if_broken(replica, situation)) is not None
     ]
-    if not broken or any(_is_fresh(one, situation) for one in broken):
+    if not broken or any(
+        _has_recent_loss(described, situation) for described in broken
+    ):
         return situation.ledger
-    broken = _note_replaceable(broken, situation)
+    broken = _mark_replaceable(broken, situation)
     repairs = _POLICIES[policy](broken, situation)
     ledger = situation.ledger
     renewed = []
-    for name, chosen in repairs.items():
-        replica = situation.ledger.get(name)
-        if replica is None or chosen is repair.Repair.WAIT:
+    for replica_id, choice in repairs.items():
+        replica = situation.ledger.get(replica_id)
+        if replica is None or choice is repair.Repair.WAIT:
             continue
-        ledger = ledger.remove(name)
-        if chosen is repair.Repair.REPLACE:
+        ledger = ledger.remove(replica_id)
+        if choice is repair.Repair.REPLACE:
             renewed.append(replica)
-    # The worst deficit first: it gets the spares and the next load.
-    renewed.sort(key=lambda replica: _urgency(replica.profile, situation))
+    # The most urgent profile first, as it gets the free instances and the
+    # next load.
+    renewed.sort(
+        key=lambda replica: _get_urgency_key(replica.profile, situation)
+    )
     for replica in renewed:
-        ledger = _mend_one(_with(situation, ledger), replica)
+        ledger = _renew_or_keep(_replace_ledger(situation, ledger), replica)
     return ledger
 
 
-def _mend_one(situation: Situation, replica: domain.Replica) -> domain.Domain:
+def _renew_or_keep(
+    situation: Situation, replica: domain.Replica
+) -> domain.Domain:
     wanted = situation.profiles.get(replica.profile)
     if wanted is None:
         return situation.ledger
-    mended = _renew(situation, replica, wanted)
-    return mended or situation.ledger.put(replica)
+    renewed = _form_next_generation(situation, replica, wanted)
+    return renewed or situation.ledger.put(replica)
 
 
-def _describe(
+def _describe_if_broken(
     replica: domain.Replica, situation: Situation
 ) -> repair.BrokenReplica | None:
-    """Return what is broken of a replica, None if it is whole."""
+    """Return the losses of a replica, None if it has none or drains."""
     if replica.phase is Phase.DRAINING:
         return None
     losses = list_losses(replica, situation)
@@ -388,12 +420,14 @@
     )
 
 
-def _is_fresh(broken: repair.BrokenReplica, situation: Situation) -> bool:
-    """Return whether a loss is too new to be judged.
+def _has_recent_loss(
+    broken: repair.BrokenReplica, situation: Situation
+) -> bool:
+    """Return whether a loss is too recent to be judged.
 
-    Failure: a whole domain goes dark, its instances are missed one after
-    the other, and a replica is taken apart to mend another that is lost
-    in the next moment.
+    Failure: a whole domain becomes unreachable, its instances are found
+    silent one after the other, and a replica is dissolved to repair
+    another one that is found lost a moment later.
     """
     return any(
         loss.health is repair.Health.SILENT
@@ -402,26 +436,33 @@
     )
 
 
-def _note_replaceable(
+def _mark_replaceable(
     broken: abc.Sequence[repair.BrokenReplica], situation: Situation
 ) -> list[repair.BrokenReplica]:
-    """Note for which replicas free instances could be had later.
+    """Set `replaceable` of each broken replica.
 
-    The healthy members of other broken replicas count: those could be
-    dissolved.
+    The healthy members of other broken replicas count as available,
+    since those replicas could be dissolved.
     """
     free = len(list_free(situation))
-    healthy = sum(one.healthy for one in broken)
+    healthy = sum(replica.healthy for replica in broken)
     return [
         msgspec.structs.replace(
-            one, replaceable=free + healthy - one.healthy >= one.missing
+            replica,
+            replaceable=free + healthy - replica.healthy >= replica.missing,
         )
-        for one in broken
+        for replica in broken
     ]
 
 
-def _urgency(name: str, situation: Situation) -> tuple[int, float, str]:
-    """Return a sort key: class of service, then share still serving."""
+def _get_urgency_key(
+    name: str, situation: Situation
+) -> tuple[int, float, str]:
+    """Return a sort key, the most urgent profile first.
+
+    Profiles are sorted by service class, then by the fraction of their
+    target that serves.
+    """
     wanted = situation.profiles.get(name)
     if wanted is None:
         return (99, 0.0, name)
@@ -435,32 +476,34 @@
     return (wanted.service_class.order, serving / max(target, 1), name)
 
 
-# -- Fewer, other, more
+# -- Draining and forming
 
 
 def _drain_surplus(situation: Situation) -> domain.Domain:
     ledger = situation.ledger
     for name in sorted({held.profile for held in ledger.replicas}):
         share = situation.shares.get(name)
-        gone = name not in situation.profiles
-        if share is None and not gone:
+        removed = name not in situation.profiles
+        if share is None and not removed:
             continue
-        target = 0 if gone or share is None else share.target
-        ledger = _drain_to(_with(situation, ledger), name, target)
+        target = 0 if removed or share is None else share.target
+        ledger = _drain_to_target(
+            _replace_ledger(situation, ledger), name, target
+        )
     return ledger
 
 
-def _drain_to(
+def _drain_to_target(
     situation: Situation, name: ids.ProfileName, target: int
 ) -> domain.Domain:
     ledger = situation.ledger
-    staying = [
+    not_draining = [
         replica
         for replica in ledger.select(name)
         if replica.phase is not Phase.DRAINING
     ]
-    staying.sort(key=lambda replica: _worth(replica, situation))
-    for replica in staying[: max(0, len(staying) - target)]:
+    not_draining.sort(key=lambda replica: _get_drain_key(replica, situation))
+    for replica in not_draining[: max(0, len(not_draining) - target)]:
         if replica.phase is Phase.FORMING:
             ledger = ledger.remove(replica.id)
         else:
@@ -468,52 +511,62 @@
     return ledger
 
 
-def _worth(
+def _get_drain_key(
     replica: domain.Replica, situation: Situation
 ) -> tuple[bool, bool, bool, str]:
-    """Return a sort key: what is given up first comes first."""
+    """Return a sort key, the replica to give up first in front.
+
+    Replicas that do not serve come first, then those with a leaving
+    member, then those that do not match their profile.
+    """
     wanted = situation.profiles.get(replica.profile)
     return (
         replica.phase is Phase.SERVING,
-        not is_doomed(replica, situation.members),
+        not has_leaving_member(replica, situation.members),
         wanted is not None and is_current(replica, wanted),
         replica.id,
     )
 
 
-def _rework(situation: Situation) -> domain.Domain:
-    """Drain outdated or doomed replicas, as many as the shares allow."""
+def _drain_outdated(situation: Situation) -> domain.Domain:
+    """Drain replicas that are outdated or have a leaving member.
+
+    Each share limits how many replicas of its profile may be out of
+    service for it.
+    """
     ledger = situation.ledger
     for name, share in sorted(situation.shares.items()):
         wanted = situation.profiles.get(name)
         if wanted is None or not share.rework:
             continue
         held = ledger.select(wanted.name)
-        busy = sum(1 for one in held if one.phase is not Phase.SERVING)
-        due = [
+        not_serving = sum(
+            1 for replica in held if replica.phase is not Phase.SERVING
+        )
+        outdated = [
             replica
             for replica in held
             if replica.phase is Phase.SERVING
             and (
                 not is_current(replica, wanted)
-                or is_doomed(replica, situation.members)
+                or has_leaving_member(replica, situation.members)
             )
         ]
-        for replica in due[: max(0, share.rework - busy)]:
+        for replica in outdated[: max(0, share.rework - not_serving)]:
             ledger = ledger.put(replica.enter(Phase.DRAINING))
     return ledger
 
 
-def _form(situation: Situation) -> domain.Domain:
-    """Form replicas where the target is not met, most urgent first."""
+def _form_missing_replicas(situation: Situation) -> domain.Domain:
+    """Form replicas below their target, the most urgent profile first."""
     ledger = situation.ledger
     names = sorted(
-        situation.shares, key=lambda name: _urgency(name, situation)
+        situation.shares, key=lambda name: _get_urgency_key(name, situation)
     )
     for name in names:
         wanted = situation.profiles.get(name)
         if wanted is not None:
-            ledger = _form_profile(_with(situation, ledger), wanted)
+            ledger = _form_profile(_replace_ledger(situation, ledger), wanted)
     return ledger
 
 
@@ -523,31 +576,31 @@
     ledger = situation.ledger
     target = situation.shares[wanted.name].target
     while (
-        _count_staying(ledger, wanted.name) < target
-        and _count_loads(ledger) < situation.settings.loads
+        _count_not_draining(ledger, wanted.name) < target
+        and _count_forming(ledger) < situation.settings.loads
     ):
-        current = _with(situation, ledger)
+        current = _replace_ledger(situation, ledger)
         chosen = list_free(current)[: wanted.replica_size]
         generation = ledger.last_generation + 1
-        name = ids.ReplicaId(f"{wanted.name}-{ledger.name}-{generation}")
-        placed = _place(current, name, wanted, chosen)
+        replica_id = ids.ReplicaId(f"{wanted.name}-{ledger.name}-{generation}")
+        placed = _form_replica(current, replica_id, wanted, chosen)
         if placed is None:
             break
         ledger = placed
     return ledger
 
 
-def _count_loads(ledger: domain.Domain) -> int:
+def _count_forming(ledger: domain.Domain) -> int:
     return sum(
         1 for replica in ledger.replicas if replica.phase is Phase.FORMING
     )
 
 
 def _change_adapters(situation: Situation) -> domain.Domain:
-    """Write down the adapters that serving replicas shall load.
+    """Record the adapters that serving replicas should load.
 
-    Engines load them beside the model that runs: no new generation, and
-    no gap in service.
+    Engines load adapters while the model runs, so this needs no new
+    generation and does not interrupt service.
     """
     ledger = situation.ledger
     for replica in ledger.replicas:
@@ -562,8 +615,8 @@
     return ledger
 
 
-def _promote(situation: Situation) -> domain.Domain:
-    """Let the formed serve: every member has reported this generation."""
+def _promote_formed(situation: Situation) -> domain.Domain:
+    """Set replicas to serving once all members report their generation."""
     ledger = situation.ledger
     for replica in ledger.replicas:
         if replica.phase is not Phase.FORMING:
@@ -573,14 +626,14 @@
     return ledger
 
 
-def _note_idle(situation: Situation) -> domain.Domain:
-    """Write down how many instances a new replica could take.
+def _update_idle(situation: Situation) -> domain.Domain:
+    """Record how many instances a new replica could use.
 
-    The number changes the ledger for all nodes, so it is left alone
-    while the holder has not heard enough.
+    Each change of this number is sent to all nodes, so it stays as it is
+    until the reports are stable.
     """
     ledger = situation.ledger
-    if not situation.settled:
+    if not situation.stable:
         return ledger
     free = len(list_free(situation)) - situation.settings.spares
     return msgspec.structs.replace(ledger, idle=max(0, free))
--- a/currantwall/coordination/replicas/sightings.py
+++ b/currantwall/coordination/replicas/sightings.py
@@ -86,7 +86,7 @@
         leaving = _list_targets(self._view.stops.values())
         for listed in self._view.list_engines(self._domain):
             seen = self._seen.get(listed.id)
-            health, lost_for = self._judge(seen, taken_at, now)
+            health, lost_seconds = self._judge(seen, taken_at, now)
             stopping = not leaving.isdisjoint(
                 (listed.id, listed.domain, listed.datacentre)
             )
@@ -96,7 +96,7 @@
                 accelerators=listed.accelerators,
                 health=health,
                 report=seen.report if seen else None,
-                lost_for=lost_for,
+                lost_seconds=lost_seconds,
                 leaving=stopping or gone,
             )
         return found
