--- a/currantwall/coordination/replicas/controller.py
+++ b/currantwall/coordination/replicas/controller.py
@@ -1,14 +1,16 @@
-"""Holding fabric domains: lease, plan, one conditional update, orders.
+"""Control of one fabric domain: lease, planning, ledger and orders.
 
 For each fabric domain one entry node holds the lease in the domain's
-ledger; which node tries first is a rendezvous hint. The holder renews,
-plans, stores the new ledger together with the renewal, and sends orders
-only for what is stored. A candidate reads the ledger now and then and
-takes a lapsed lease by raising its epoch, the fencing number.
-
-One write is under way at a time for each domain. A write whose answer
-was lost is settled by reading back: whatever is stored is the truth, and
-the next write at that version makes a late one fail.
+ledger; a rendezvous hash decides which node tries first. The holder
+renews the lease and plans, stores the new ledger and the renewal in one
+conditional update, and sends orders only for what is stored. A candidate
+reads the ledger at intervals and takes an expired lease by raising its
+epoch, the fencing number.
+
+Each domain has at most one write in flight. After a write whose answer
+was lost the ledger is read back: the stored ledger is authoritative, and
+the next write at its version makes the lost write fail if it arrives
+late.
 """
 
 import msgspec
@@ -37,14 +39,15 @@
 
 Phase = domain.ReplicaPhase
 
-# Plans follow changes at this distance, so that one step stays short;
-# without a change a plan is made now and then, because time passes.
-_PLAN_INTERVAL = 0.25
-_QUIET_PLAN_INTERVAL = 2.0
+# Seconds from a change to the next plan. Changes within that time share
+# one plan, which keeps a step short.
+_PLAN_DELAY = 0.25
+# Seconds between plans without a change, as plans also depend on the time.
+_PERIODIC_PLAN_INTERVAL = 2.0
 
 
 class DomainController:
-    """Duties of this node towards one fabric domain."""
+    """Takes and holds the lease of one fabric domain and plans for it."""
 
     def __init__(
         self,
@@ -53,14 +56,14 @@
         nodes: views.MembersView,
         settings: settings_module.ReplicasSection,
         platform: settings_module.PlatformSection,
-        numbers: calls.Calls,
+        call_ids: calls.Calls,
         policy: str,
     ) -> None:
         self.name = name
         self._view = view
         self._nodes = nodes
         self._settings = settings
-        self._numbers = numbers
+        self._call_ids = call_ids
         self._policy = policy
         self._key = objects.ObjectKey(objects.Kind.DOMAINS.value, name)
         me = nodes.me
@@ -82,73 +85,78 @@
         self._taken_at = 0.0
         self._holding = False
         self._releasing = False
-        # After a write whose answer was lost: read what is stored, then
-        # write again before anything rests on it.
+        # After a write whose answer was lost, the ledger must be read and
+        # then written again before any decision is based on it.
         self._must_read = False
         self._must_write = False
         self._sightings = sightings.Sightings(name, view, settings)
         self._orders = orders.Orders(view, settings)
-        self._draining: dict[ids.ReplicaId, float] = {}
+        self._draining_since: dict[ids.ReplicaId, float] = {}
         self._shares = shares.ShareKeeper(
-            name, view, numbers, settings.grant_patience
+            name, view, call_ids, settings.grant_patience
         )
 
-    # -- What others ask
+    # -- Queries
 
     @property
     def ledger(self) -> domain.Domain | None:
-        """Return the ledger as last read or written here."""
+        """Return the ledger as last read or written by this node."""
         return self._ledger
 
     def holds(self, now: float) -> bool:
         """Return whether this node may act as the holder."""
         return self._lease.holds(now)
 
-    def is_busy(self) -> bool:
-        """Return whether the lease names this node or a call is out."""
+    def is_active(self) -> bool:
+        """Return whether the lease names this process or a call is pending."""
         return self._lease.is_mine() or self._call is not None
 
     def due(self) -> float:
-        """Return when `step` wants to be called next."""
+        """Return when `step` is to be called next."""
         if self._call is not None:
             return self._next_plan if self._holding else self._next_read
         if self._holding:
             return min(self._next_plan, self._next_write)
         return self._next_read
 
-    # -- Time
+    # -- Steps
 
     def step(self, now: float, rank: int) -> list[part.Action]:
-        """Do what is due.
+        """Take, renew or read the lease and plan, as far as this is due.
 
         Args:
             now: The time.
-            rank: Place of this node among the candidates, 0 for the
-                first; later ones leave the first some time.
+            rank: Rank of this node among the candidates, 0 for the first.
+                Each rank adds half a renewal interval of delay before
+                an expired lease is taken.
         """
-        found = self._note_holding(now)
+        result = self._update_holding(now)
         if self._call is not None:
-            return found
+            return result
         if self._lease.holds(now):
-            return found + self._act(now)
+            return result + self._step_as_holder(now)
         if self._lease.is_lapsed(now) and now >= self._next_write:
-            patience = rank * self._settings.renew_interval / 2
-            if self._is_patient(now, patience):
-                return found + self._take(now)
+            delay = rank * self._settings.renew_interval / 2
+            if self._has_waited(now, delay):
+                return result + self._take_lease(now)
         if now >= self._next_read:
-            return found + self._read(now)
-        return found
+            return result + self._read_ledger(now)
+        return result
 
-    def _is_patient(self, now: float, patience: float) -> bool:
-        """Leave the earlier candidates some time to take the lease."""
-        if patience <= 0:
+    def _has_waited(self, now: float, delay: float) -> bool:
+        """Return whether earlier candidates had time to take the lease.
+
+        The first call starts the delay.
+        """
+        if delay <= 0:
             return True
         if not self._next_write:
-            self._next_write = now + patience
+            self._next_write = now + delay
             return False
         return now >= self._next_write
 
-    def _note_holding(self, now: float) -> list[part.Action]:
+    def _update_holding(self, now: float) -> list[part.Action]:
+        """Handle the start or the end of this node's time as the holder."""
         holds = self._lease.holds(now)
         if holds == self._holding:
             return []
@@ -157,13 +165,13 @@
         kinds = timeline.EventKind
         if not holds:
             self._sightings.clear()
-            self._draining.clear()
+            self._draining_since.clear()
             self._shares.forget()
             return [actions.Record(kinds.LEASE_LOST, self.name)]
         self._taken_at = now
-        # Orders of a former holder may still be on their way to engines
-        # that ignore the fencing number: outlive them before the first
-        # order of our own.
+        # Orders of a former holder may still be in transit to engines that
+        # ignore the fencing number. Wait until these orders have expired
+        # before sending the first one.
         settings = self._settings
         wait = 0.0 if settings.epoch_checked else settings.order_lifetime
         self._orders.not_before = now + wait
@@ -172,35 +180,35 @@
         return [actions.Record(kinds.LEASE_TAKEN, self.name, detail)]
 
     def release(self, now: float) -> list[part.Action]:
-        """Give the lease back, so that a successor need not wait."""
+        """Release the lease, so that a successor need not wait for its end."""
         if not self._lease.holds(now) or self._ledger is None:
             return []
         if self._call is not None or self._releasing:
             return []
         self._releasing = True
-        return self._write(self._ledger, now)
+        return self._write_ledger(self._ledger, now)
 
     # -- Calls to the platform
 
-    def _read(self, now: float) -> list[part.Action]:
-        self._call = self._numbers.next()
+    def _read_ledger(self, now: float) -> list[part.Action]:
+        self._call = self._call_ids.next()
         self._writing = False
         self._next_read = now + self._settings.renew_interval
         return [actions.ReadObject(self._call, self._key)]
 
-    def _take(self, now: float) -> list[part.Action]:
-        held = self._ledger or self._make_empty()
-        taken = msgspec.structs.replace(held, serial=held.serial + 1)
-        epoch = ids.Epoch(held.epoch + 1)
-        return self._write(taken, now, epoch)
+    def _take_lease(self, now: float) -> list[part.Action]:
+        ledger = self._ledger or self._make_empty_ledger()
+        updated = msgspec.structs.replace(ledger, serial=ledger.serial + 1)
+        epoch = ids.Epoch(ledger.epoch + 1)
+        return self._write_ledger(updated, now, epoch)
 
-    def _make_empty(self) -> domain.Domain:
+    def _make_empty_ledger(self) -> domain.Domain:
         for listed in self._view.list_engines(self.name):
             return domain.Domain(name=self.name, datacentre=listed.datacentre)
         datacentre = self._nodes.me.datacentre
         return domain.Domain(name=self.name, datacentre=datacentre)
 
-    def _write(
+    def _write_ledger(
         self,
         ledger: domain.Domain,
         now: float,
@@ -212,7 +220,7 @@
         ttl = 0.0 if self._releasing else self._settings.lease_ttl
         lease = domain.Lease(me.id, me.incarnation, epoch or ledger.epoch, ttl)
         value = msgspec.structs.replace(ledger, lease=lease, attempt=attempt)
-        self._call = self._numbers.next()
+        self._call = self._call_ids.next()
         self._writing = True
         self._lease.note_sent(attempt, now)
         self._next_write = now + self._settings.renew_interval
@@ -225,7 +233,7 @@
     def handle_answer(
         self, answer: messages.PlatformAnswer, now: float
     ) -> list[part.Action]:
-        """Take the answer of a call of this domain."""
+        """Handle the answer to a call of this domain."""
         if self._shares.owns(answer.call):
             return self._shares.handle_answer(answer, now)
         if answer.call != self._call:
@@ -233,39 +241,39 @@
         self._call = None
         statuses = messages.PlatformStatus
         if answer.status is statuses.UNAVAILABLE:
-            return self._wait(now)
+            return self._back_off(now)
         if answer.status is statuses.LOST:
-            return self._note_lost(now)
+            return self._handle_lost_answer(now)
         self._backoff.succeed()
         if self._writing and not answer.is_ok:
-            return self._read(now)
+            return self._read_ledger(now)
         self._must_read = False
         if self._writing:
             self._must_write = False
-        return self._adopt(answer, now)
+        return self._apply_stored(answer, now)
 
-    def _note_lost(self, now: float) -> list[part.Action]:
-        """Settle a call whose answer was lost before doing more.
+    def _handle_lost_answer(self, now: float) -> list[part.Action]:
+        """Require a read, and a write if this was one, before going on.
 
-        Failure: the lost write takes effect later, after a look that did
-        not show it. Were the grants lowered meanwhile, the late write
-        would hold more than is granted. Any write of ours that succeeds
-        at the version seen makes the late one fail.
+        Failure: the lost write takes effect after a read that did not
+        show it. If the grants are lowered in between, the ledger then
+        holds more than is granted. Any successful write by this node at
+        the version read makes the late write fail.
         """
         self._must_read = True
         self._must_write = self._must_write or self._writing
-        return self._wait(now)
+        return self._back_off(now)
 
-    def _wait(self, now: float) -> list[part.Action]:
+    def _back_off(self, now: float) -> list[part.Action]:
         wait = self._backoff.fail()
         self._next_read = now + wait
         self._next_write = now + wait
         return []
 
-    def _adopt(
+    def _apply_stored(
         self, answer: messages.PlatformAnswer, now: float
     ) -> list[part.Action]:
-        """Take what the platform holds as the truth."""
+        """Adopt the ledger that the platform has stored."""
         stored = answer.stored[0] if answer.stored else None
         version = stored.version if stored else ids.Version(0)
         value = objects.decode(stored) if stored else None
@@ -275,16 +283,16 @@
         self._version = version
         self._ledger = value
         self._lease.see(version, value, now)
-        found = self._note_holding(now)
+        result = self._update_holding(now)
         if stored is None or value is None:
-            return found
-        found.append(actions.Tell(configuration.Written(stored)))
+            return result
+        result.append(actions.Tell(configuration.Written(stored)))
         if self._holding:
-            found += self._report_changes(before, value, now)
-            self._next_plan = min(self._next_plan, now + _PLAN_INTERVAL)
-        return found
+            result += self._record_changes(before, value, now)
+            self._next_plan = min(self._next_plan, now + _PLAN_DELAY)
+        return result
 
-    def _report_changes(
+    def _record_changes(
         self,
         before: domain.Domain | None,
         after: domain.Domain,
@@ -292,48 +300,48 @@
     ) -> list[part.Action]:
         old = {r.id: r for r in before.replicas} if before else {}
         new = {r.id: r for r in after.replicas}
-        found: list[part.Action] = []
-        for name in sorted(old.keys() - new.keys()):
-            self._draining.pop(name, None)
+        result: list[part.Action] = []
+        for replica_id in sorted(old.keys() - new.keys()):
+            self._draining_since.pop(replica_id, None)
             kind = timeline.EventKind.REPLICA_DISSOLVED
-            found.append(actions.Record(kind, name))
-        for name, replica in new.items():
+            result.append(actions.Record(kind, replica_id))
+        for replica_id, replica in new.items():
             if replica.phase is Phase.DRAINING:
-                self._draining.setdefault(name, now)
+                self._draining_since.setdefault(replica_id, now)
             else:
-                self._draining.pop(name, None)
-            if replica != old.get(name):
-                found.append(_record_phase(replica))
+                self._draining_since.pop(replica_id, None)
+            if replica != old.get(replica_id):
+                result.append(_record_phase(replica))
                 label = replica.phase.value
                 counter = actions.Counter.REPLICA_STEPS
-                found.append(actions.Count(counter, label))
-        return found
+                result.append(actions.Count(counter, label))
+        return result
 
-    # -- The holder's work
+    # -- Work of the holder
 
-    def _act(self, now: float) -> list[part.Action]:
+    def _step_as_holder(self, now: float) -> list[part.Action]:
         if self._ledger is None:
             return []
         if self._must_read:
-            return self._read(now) if now >= self._next_read else []
-        found: list[part.Action] = []
+            return self._read_ledger(now) if now >= self._next_read else []
+        result: list[part.Action] = []
         if now >= self._next_plan:
-            self._next_plan = now + _QUIET_PLAN_INTERVAL
-            members = self._sightings.describe(self._taken_at, now)
+            self._next_plan = now + _PERIODIC_PLAN_INTERVAL
+            members = self._sightings.describe_members(self._taken_at, now)
             planned = self._plan(members, now)
-            found += self._orders.list_due(
+            result += self._orders.list_due(
                 self._ledger, members, self._lease.deadline, now
             )
             if not planned.is_same_placement(self._ledger):
                 serial = self._ledger.serial + 1
                 planned = msgspec.structs.replace(planned, serial=serial)
-                return found + self._write(planned, now)
+                return result + self._write_ledger(planned, now)
             if self._must_write:
-                return found + self._write(self._ledger, now)
-            found += self._shares.step(self._ledger, members, now)
+                return result + self._write_ledger(self._ledger, now)
+            result += self._shares.step(self._ledger, members, now)
         if now >= self._next_write:
-            found += self._write(self._ledger, now)
-        return found
+            result += self._write_ledger(self._ledger, now)
+        return result
 
     def _plan(
         self,
@@ -347,8 +355,8 @@
             profiles=self._view.profiles,
             shares=self._shares.list_usable(self._ledger.epoch),
             settings=self._settings,
-            movable=self._list_movable(),
-            drained=self._list_drained(members, now),
+            movable=self._list_movable_profiles(),
+            drained=self._list_drained_replicas(members, now),
             stable=self._is_stable(members, now),
             correlated=sightings.is_correlated(members),
         )
@@ -359,12 +367,12 @@
         members: dict[ids.InstanceId, placement.Member],
         now: float,
     ) -> bool:
-        """Return whether the observers had time to tell all they see.
+        """Return whether the observers had time to report all instances.
 
-        Failure: a domain that was dark comes back, its instances are
-        seen one after the other, and a replica that is whole again in a
-        moment is taken apart to mend another. While members return and
-        others are still lost, losses are not judged.
+        Failure: a domain that was unreachable returns, its instances are
+        observed one after the other, and a replica that would be complete
+        a moment later is dissolved to repair another one. Losses are not
+        judged while some members return and others are still lost.
         """
         interval = self._settings.sighting_interval
         if now < self._taken_at + 2 * interval:
@@ -376,61 +384,63 @@
         returning = now < self._sightings.returned_at + interval
         return not (some_lost and returning)
 
-    def _list_movable(self) -> frozenset[str]:
-        found = set()
+    def _list_movable_profiles(self) -> frozenset[str]:
+        """Return the profiles for which another domain has room."""
+        movable = set()
         for name, wanted in self._view.profiles.items():
-            for held in self._view.domains.values():
-                room = held.idle >= wanted.replica_size
-                if held.name != self.name and room:
-                    found.add(name)
-        return frozenset(found)
+            for ledger in self._view.domains.values():
+                room = ledger.idle >= wanted.replica_size
+                if ledger.name != self.name and room:
+                    movable.add(name)
+        return frozenset(movable)
 
-    def _list_drained(
+    def _list_drained_replicas(
         self,
         members: dict[ids.InstanceId, placement.Member],
         now: float,
     ) -> frozenset[ids.ReplicaId]:
-        """Return the replicas that have no request left.
+        """Return the draining replicas that have no request left.
 
-        The nodes are given time to learn of the drain; only a report
-        made after that, of no request running or queued, ends it.
+        The nodes need some time to learn of the drain. It ends with the
+        first report after that time that shows no request running or
+        queued.
         """
-        found = set()
+        drained = set()
         settle = self._settings.drain_settle
-        for name, since in self._draining.items():
-            replica = self._ledger.get(name) if self._ledger else None
+        for replica_id, since in self._draining_since.items():
+            replica = self._ledger.get(replica_id) if self._ledger else None
             if replica is None:
                 continue
-            heard = self._sightings.get_heard(replica.leader)
+            probed_at = self._sightings.get_probed_at(replica.leader)
             member = members.get(replica.leader)
             report = member.report if member else None
-            if heard is None or report is None or not report.is_quiet:
+            if probed_at is None or report is None or not report.is_quiet:
                 continue
-            if heard >= since + settle:
-                found.add(name)
-        return frozenset(found)
+            if probed_at >= since + settle:
+                drained.add(replica_id)
+        return frozenset(drained)
 
-    # -- What is known of the instances
+    # -- Changes
 
-    def note_sighting(
+    def handle_sighting(
         self, sighting: wire.Sighting, delay: float, now: float
     ) -> None:
-        """Take what an observer saw."""
-        if self._sightings.note(sighting, delay, now):
-            self.note_change(now)
+        """Store an observer's sighting, and plan soon if it is a change."""
+        if self._sightings.record(sighting, delay, now):
+            self.request_plan(now)
 
-    def note_change(self, now: float) -> None:
-        """Plan anew soon."""
-        self._next_plan = min(self._next_plan, now + _PLAN_INTERVAL)
+    def request_plan(self, now: float) -> None:
+        """Schedule a plan soon after a change."""
+        self._next_plan = min(self._next_plan, now + _PLAN_DELAY)
 
     # -- Orders
 
-    def handle_fenced(self, now: float) -> list[part.Action]:
-        """An engine knows a newer epoch: look before anything else."""
+    def handle_fenced_order(self, now: float) -> list[part.Action]:
+        """Read the ledger, as an engine refused an order for its old epoch."""
         if self._call is not None:
             return []
         kind = timeline.EventKind.ORDER_REFUSED
-        return [actions.Record(kind, self.name), *self._read(now)]
+        return [actions.Record(kind, self.name), *self._read_ledger(now)]
 
 
 def _record_phase(replica: domain.Replica) -> actions.Record:
--- a/currantwall/coordination/replicas/controllers.py
+++ b/currantwall/coordination/replicas/controllers.py
@@ -1,4 +1,4 @@
-"""The fabric domains that this node holds or stands by for."""
+"""Controllers of the fabric domains this node is a candidate for."""
 
 from currantwall.coordination import calls
 from currantwall.coordination import messages
@@ -15,99 +15,109 @@
 
 
 class Controllers(part.Part):
-    """The domains this node holds or stands by for."""
+    """Creates the domain controllers and passes messages to them."""
 
     def __init__(
         self,
         view: views.ObjectsView,
         nodes: views.MembersView,
         settings: settings_module.Settings,
-        numbers: calls.Calls,
+        call_ids: calls.Calls,
         policy: str = "weighted",
     ) -> None:
         self._view = view
         self._nodes = nodes
         self._settings = settings
-        self._numbers = numbers
+        self._call_ids = call_ids
         self._policy = policy
-        self._domains: dict[ids.DomainName, controller.DomainController] = {}
+        self._controllers: dict[
+            ids.DomainName, controller.DomainController
+        ] = {}
         self._ranks: dict[ids.DomainName, int] = {}
-        self._stale = True
+        self._assignment_outdated = True
         self._leaving = False
 
     def due(self) -> float | None:
         """Return when the next tick is wanted."""
-        if self._stale:
+        if self._assignment_outdated:
             return 0.0
-        return min((c.due() for c in self._domains.values()), default=None)
+        return min((c.due() for c in self._controllers.values()), default=None)
 
     def leave(self, now: float) -> list[part.Action]:
-        """Give all leases back before a stop."""
+        """Release all leases before this node stops."""
         self._leaving = True
-        found: list[part.Action] = []
-        for one in self._domains.values():
-            found += one.release(now)
-        return found
+        result: list[part.Action] = []
+        for domain_controller in self._controllers.values():
+            result += domain_controller.release(now)
+        return result
 
     @part.handles(part.Tick)
     def _on_tick(self, _: part.Tick, now: float) -> list[part.Action]:
-        if self._stale:
-            self._assign()
-        found: list[part.Action] = []
-        for name, one in self._domains.items():
+        if self._assignment_outdated:
+            self._update_controllers()
+        result: list[part.Action] = []
+        for name, domain_controller in self._controllers.items():
             if self._leaving:
-                found += one.release(now)
-            elif now >= one.due():
-                found += one.step(now, self._ranks.get(name, 0))
-        return found
+                result += domain_controller.release(now)
+            elif now >= domain_controller.due():
+                result += domain_controller.step(now, self._ranks.get(name, 0))
+        return result
 
     @part.handles(messages.MemberChanged)
     def _on_member(self, message: messages.MemberChanged, now: float) -> None:
-        self._stale = True
+        self._assignment_outdated = True
 
     @part.handles(messages.ObjectChanged)
     def _on_object(self, message: messages.ObjectChanged, now: float) -> None:
         if message.stored.key.kind == objects.Kind.INSTANCES.value:
-            self._stale = True
+            self._assignment_outdated = True
         if message.stored.key.kind != objects.Kind.DOMAINS.value:
-            for one in self._domains.values():
-                one.note_change(now)
+            for domain_controller in self._controllers.values():
+                domain_controller.request_plan(now)
 
-    def _assign(self) -> None:
-        """Work out which domains this node is a candidate for."""
-        self._stale = False
+    def _update_controllers(self) -> None:
+        """Create and drop controllers as this node's candidacies change.
+
+        A controller that holds a lease or waits for an answer is kept.
+        """
+        self._assignment_outdated = False
         self._ranks = {}
         for name, datacentre in self._list_domains().items():
-            place = datacentre
+            scope = datacentre
             if not self._nodes.usable(datacentre):
-                place = None
-            ranked = self._nodes.rank(f"domain:{name}", place)
+                scope = None
+            ranked = self._nodes.rank(f"domain:{name}", scope)
             ranked = ranked[: self._settings.replicas.candidates]
             me = self._nodes.me.id
             if me in ranked:
                 self._ranks[name] = ranked.index(me)
-                self._domains.setdefault(name, self._make(name))
-        for name in list(self._domains):
-            if name not in self._ranks and not self._domains[name].is_busy():
-                del self._domains[name]
+                self._controllers.setdefault(name, self._make_controller(name))
+        for name in list(self._controllers):
+            if (
+                name not in self._ranks
+                and not self._controllers[name].is_active()
+            ):
+                del self._controllers[name]
 
     def _list_domains(self) -> dict[ids.DomainName, ids.DatacentreName]:
-        found = {
+        datacentres = {
             held.name: held.datacentre for held in self._view.domains.values()
         }
         for listed in self._view.instances.values():
             if listed.kind is instances.InstanceKind.ENGINE:
-                found.setdefault(listed.domain, listed.datacentre)
-        return found
+                datacentres.setdefault(listed.domain, listed.datacentre)
+        return datacentres
 
-    def _make(self, name: ids.DomainName) -> controller.DomainController:
+    def _make_controller(
+        self, name: ids.DomainName
+    ) -> controller.DomainController:
         return controller.DomainController(
             name,
             self._view,
             self._nodes,
             self._settings.replicas,
             self._settings.platform,
-            self._numbers,
+            self._call_ids,
             self._policy,
         )
 
@@ -115,18 +125,18 @@
     def _on_answer(
         self, answer: messages.PlatformAnswer, now: float
     ) -> list[part.Action]:
-        found: list[part.Action] = []
-        for one in self._domains.values():
-            found += one.handle_answer(answer, now)
-        return found
+        result: list[part.Action] = []
+        for domain_controller in self._controllers.values():
+            result += domain_controller.handle_answer(answer, now)
+        return result
 
     @part.handles(wire.Sighting)
     def _on_sighting(self, message: messages.Received, now: float) -> None:
         listed = self._view.instances.get(message.body.instance)
         name = listed.domain if listed else ids.DomainName("")
-        one = self._domains.get(name)
-        if one is not None and one.holds(now):
-            one.note_sighting(message.body, message.delay, now)
+        domain_controller = self._controllers.get(name)
+        if domain_controller is not None and domain_controller.holds(now):
+            domain_controller.handle_sighting(message.body, message.delay, now)
 
     @part.handles(messages.OrderAnswered)
     def _on_order(
@@ -135,5 +145,11 @@
         if answer.outcome is not messages.OrderOutcome.FENCED:
             return []
         listed = self._view.instances.get(answer.instance)
-        one = self._domains.get(listed.domain) if listed else None
-        return one.handle_fenced(now) if one else []
+        domain_controller = (
+            self._controllers.get(listed.domain) if listed else None
+        )
+        return (
+            domain_controller.handle_fenced_order(now)
+            if domain_controller
+            else []
+        )
--- a/currantwall/coordination/replicas/orders.py
+++ b/currantwall/coordination/replicas/orders.py
@@ -1,8 +1,8 @@
-"""Orders that bring the engines of one domain to the ledger's word.
+"""Orders that bring the engines of one domain to the ledger's state.
 
-An order is derived from the stored ledger and the engine's own report,
-so one that was lost or not obeyed is simply sent again, and one that was
-obeyed is confirmed by the next report.
+Orders are derived from the stored ledger and the engine's own report. An
+order that was lost or not carried out is sent again; the next report
+confirms one that was carried out.
 """
 
 from collections import abc
@@ -22,12 +22,12 @@
 
 Phase = domain.ReplicaPhase
 
-# Orders that were not obeyed are sent again after this many seconds.
-_ORDER_INTERVAL = 1.0
+# Seconds after which an order that was not carried out is sent again.
+_RESEND_INTERVAL = 1.0
 
 
 class Orders:
-    """What was ordered lately, and what is due."""
+    """Chooses the orders that are due and remembers when they were sent."""
 
     def __init__(
         self,
@@ -36,8 +36,8 @@
     ) -> None:
         self._view = view
         self._settings = settings
-        self._ordered: dict[ids.InstanceId, float] = {}
-        # No order leaves before this time.
+        self._sent_at: dict[ids.InstanceId, float] = {}
+        # No order is sent before this time.
         self.not_before = 0.0
 
     def list_due(
@@ -47,62 +47,66 @@
         deadline: float,
         now: float,
     ) -> list[part.Action]:
-        """Return the orders for what is stored and not yet obeyed.
+        """Return the orders that the instances have not carried out yet.
 
         Args:
             ledger: The ledger as stored.
-            members: What is known of the instances.
+            members: The state of the instances.
             deadline: Until when this node may act as the holder.
             now: The time.
         """
         if now < self.not_before:
             return []
-        found: list[part.Action] = []
+        result: list[part.Action] = []
         for member in members.values():
-            order = self._find_order(ledger, member)
-            sent = self._ordered.get(member.id)
+            order = self._choose_order(ledger, member)
+            sent_at = self._sent_at.get(member.id)
             if order is None:
-                self._ordered.pop(member.id, None)
+                self._sent_at.pop(member.id, None)
                 continue
-            if sent is not None and now < sent + _ORDER_INTERVAL:
+            if sent_at is not None and now < sent_at + _RESEND_INTERVAL:
                 continue
-            self._ordered[member.id] = now
-            found += self._send(member, order, deadline)
-        return found
+            self._sent_at[member.id] = now
+            result += self._make_actions(member, order, deadline)
+        return result
 
-    def _find_order(
+    def _choose_order(
         self, ledger: domain.Domain, member: placement.Member
     ) -> actions.Order | None:
-        """Return the order that brings an instance to the ledger's word."""
+        """Return the order an instance needs to match the ledger, if any."""
         if member.health is not repair.Health.HEALTHY:
             return None
         replica = ledger.find_owner(member.id)
         report = member.report
         if replica is None:
             if report is not None and report.replica:
-                return self._make_release(ledger, report)
+                return self._make_release_order(ledger, report)
             return None
         if member.runs(replica):
-            return self._find_load(ledger, member, replica)
+            return self._choose_load_order(ledger, member, replica)
         if replica.phase is not Phase.FORMING:
             return None
         if _is_loading(report, replica):
             return None
-        return self._make_form(ledger, member, replica, actions.OrderKind.FORM)
+        return self._make_replica_order(
+            ledger, member, replica, actions.OrderKind.FORM
+        )
 
-    def _find_load(
+    def _choose_load_order(
         self,
         ledger: domain.Domain,
         member: placement.Member,
         replica: domain.Replica,
     ) -> actions.Order | None:
-        """Return the order to load adapters that are still missing."""
+        """Return the order to load adapters unless they match the ledger."""
         report = member.report
         if report is None or report.adapters == replica.adapters:
             return None
-        return self._make_form(ledger, member, replica, actions.OrderKind.LOAD)
+        return self._make_replica_order(
+            ledger, member, replica, actions.OrderKind.LOAD
+        )
 
-    def _make_release(
+    def _make_release_order(
         self, ledger: domain.Domain, report: instances.Report
     ) -> actions.Order:
         return actions.Order(
@@ -113,7 +117,7 @@
             lifetime=self._settings.order_lifetime,
         )
 
-    def _make_form(
+    def _make_replica_order(
         self,
         ledger: domain.Domain,
         member: placement.Member,
@@ -133,7 +137,7 @@
             lifetime=self._settings.order_lifetime,
         )
 
-    def _send(
+    def _make_actions(
         self,
         member: placement.Member,
         order: actions.Order,
@@ -142,21 +146,22 @@
         listed = self._view.instances.get(member.id)
         if listed is None:
             return []
-        found: list[part.Action] = [
+        result: list[part.Action] = [
             actions.SendOrder(member.id, listed.address, order, deadline),
             actions.Count(actions.Counter.ORDERS, order.kind.value),
         ]
         if order.kind is actions.OrderKind.RELEASE:
             kind = timeline.EventKind.INSTANCE_HELD_BACK
             detail = f"reports {order.replica}"
-            found.append(actions.Record(kind, member.id, detail))
-            found.append(actions.Count(actions.Counter.HELD_BACK))
-        return found
+            result.append(actions.Record(kind, member.id, detail))
+            result.append(actions.Count(actions.Counter.HELD_BACK))
+        return result
 
 
 def _is_loading(
     report: instances.Report | None, replica: domain.Replica
 ) -> bool:
+    """Return whether an engine already reports this generation."""
     return (
         report is not None
         and report.replica == replica.id
--- a/currantwall/coordination/replicas/sightings.py
+++ b/currantwall/coordination/replicas/sightings.py
@@ -1,4 +1,7 @@
-"""What observers say of the instances of one domain, for its holder."""
+"""State of the instances of one domain, from the observers' reports.
+
+The holder of the domain's lease receives the sightings and plans by them.
+"""
 
 from collections import abc
 
@@ -15,14 +18,22 @@
 
 __all__ = ["Sightings", "is_correlated"]
 
-# A sighting older than this many sighting intervals counts as silence.
-_SIGHTINGS_MISSED = 3
+# An instance counts as silent once its last sighting is older than this
+# many sighting intervals.
+_SILENCE_INTERVALS = 3
+
 
+class _LastSighting(msgspec.Struct):
+    """The last sighting of one instance.
 
-class _Seen(msgspec.Struct):
-    """What observers last said of one instance."""
+    Attributes:
+        probed_at: When the observer sent the probe, on this node's clock.
+        report: The last report, also while the instance is lost.
+        refused: Whether the instance refused the connection.
+        lost_since: When the first failed probe was sent, 0 if not lost.
+    """
 
-    heard: float
+    probed_at: float
     report: instances.Report | None
     refused: bool
     lost_since: float = 0.0
@@ -40,86 +51,96 @@
         self._domain = name
         self._view = view
         self._settings = settings
-        self._seen: dict[ids.InstanceId, _Seen] = {}
-        # When a lost instance was last seen again.
+        self._last_sightings: dict[ids.InstanceId, _LastSighting] = {}
+        # When a lost instance last answered again.
         self.returned_at = -1e9
 
     def clear(self) -> None:
-        """Forget everything, at the end of a time as the holder."""
-        self._seen.clear()
-
-    def get_heard(self, instance: ids.InstanceId) -> float | None:
-        """Return as of when an instance was last seen."""
-        seen = self._seen.get(instance)
-        return seen.heard if seen else None
-
-    def note(self, sighting: wire.Sighting, delay: float, now: float) -> bool:
-        """Take what an observer saw; return whether it is news."""
-        heard = now - delay - sighting.age
-        held = self._seen.get(sighting.instance)
-        if held is not None and heard < held.heard:
+        """Discard all sightings when this node stops being the holder."""
+        self._last_sightings.clear()
+
+    def get_probed_at(self, instance: ids.InstanceId) -> float | None:
+        """Return when the probe of the last sighting was sent."""
+        last = self._last_sightings.get(instance)
+        return last.probed_at if last else None
+
+    def record(
+        self, sighting: wire.Sighting, delay: float, now: float
+    ) -> bool:
+        """Store a sighting; return whether it changes an instance's state.
+
+        Args:
+            sighting: What an observer found.
+            delay: Seconds that the message took to arrive.
+            now: The time.
+        """
+        probed_at = now - delay - sighting.age
+        previous = self._last_sightings.get(sighting.instance)
+        if previous is not None and probed_at < previous.probed_at:
             return False
         lost = sighting.report is None
-        since = heard
-        if held is not None and held.lost_since:
-            since = held.lost_since
+        lost_since = probed_at
+        if previous is not None and previous.lost_since:
+            lost_since = previous.lost_since
             if not lost:
                 self.returned_at = now
         report = sighting.report
-        if lost and held is not None:
-            report = held.report
-        self._seen[sighting.instance] = _Seen(
-            heard, report, sighting.refused, since if lost else 0.0
+        if lost and previous is not None:
+            report = previous.report
+        self._last_sightings[sighting.instance] = _LastSighting(
+            probed_at, report, sighting.refused, lost_since if lost else 0.0
         )
-        return _differs(held, self._seen[sighting.instance])
+        return _has_changed(previous, self._last_sightings[sighting.instance])
 
-    def describe(
+    def describe_members(
         self, taken_at: float, now: float
     ) -> dict[ids.InstanceId, placement.Member]:
-        """Return what is known of each instance of the domain.
+        """Return the state of each instance of the domain.
 
         Args:
             taken_at: When this node became the holder.
             now: The time.
         """
-        found: dict[ids.InstanceId, placement.Member] = {}
-        leaving = _list_targets(self._view.stops.values())
+        members: dict[ids.InstanceId, placement.Member] = {}
+        leaving = _list_stop_targets(self._view.stops.values())
         for listed in self._view.list_engines(self._domain):
-            seen = self._seen.get(listed.id)
-            health, lost_seconds = self._judge(seen, taken_at, now)
+            last = self._last_sightings.get(listed.id)
+            health, lost_seconds = self._classify(last, taken_at, now)
             stopping = not leaving.isdisjoint(
                 (listed.id, listed.domain, listed.datacentre)
             )
             gone = listed.state is instances.InstanceState.LEAVING
-            found[listed.id] = placement.Member(
+            members[listed.id] = placement.Member(
                 id=listed.id,
                 accelerators=listed.accelerators,
                 health=health,
-                report=seen.report if seen else None,
+                report=last.report if last else None,
                 lost_seconds=lost_seconds,
                 leaving=stopping or gone,
             )
-        return found
+        return members
 
-    def _judge(
-        self, seen: _Seen | None, taken_at: float, now: float
+    def _classify(
+        self, last: _LastSighting | None, taken_at: float, now: float
     ) -> tuple[repair.Health, float]:
-        kinds = repair.Health
-        silence = _SIGHTINGS_MISSED * self._settings.sighting_interval
-        if seen is None:
+        """Return the health of an instance and seconds since its loss."""
+        health = repair.Health
+        silence = _SILENCE_INTERVALS * self._settings.sighting_interval
+        if last is None:
             since = max(taken_at, 0.0) + silence
             if now < since:
-                return kinds.UNKNOWN, 0.0
-            return kinds.SILENT, now - since
-        if seen.lost_since:
-            kind = kinds.EMPTY if seen.refused else kinds.SILENT
-            return kind, now - seen.lost_since
-        if now - seen.heard > silence:
-            return kinds.SILENT, now - seen.heard
-        return kinds.HEALTHY, 0.0
-
-
-def _differs(before: _Seen | None, after: _Seen) -> bool:
+                return health.UNKNOWN, 0.0
+            return health.SILENT, now - since
+        if last.lost_since:
+            loss = health.EMPTY if last.refused else health.SILENT
+            return loss, now - last.lost_since
+        if now - last.probed_at > silence:
+            return health.SILENT, now - last.probed_at
+        return health.HEALTHY, 0.0
+
+
+def _has_changed(before: _LastSighting | None, after: _LastSighting) -> bool:
+    """Return whether two sightings differ apart from their times."""
     if before is None:
         return True
     return (before.report, before.refused, before.lost_since > 0) != (
@@ -132,7 +153,7 @@
 def is_correlated(
     members: dict[ids.InstanceId, placement.Member],
 ) -> bool:
-    """Return whether most of a domain is silent at once."""
+    """Return whether most instances of a domain are silent."""
     silent = sum(
         1
         for member in members.values()
@@ -141,8 +162,8 @@
     return silent * 2 > len(members)
 
 
-def _list_targets(planned: abc.Iterable[stops.Stop]) -> set[str]:
-    """Return the names that planned stops cover, entries left out."""
+def _list_stop_targets(planned: abc.Iterable[stops.Stop]) -> set[str]:
+    """Return the names that planned stops cover, except entry nodes."""
     return {
         stop.target
         for stop in planned
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -420,9 +420,9 @@
     Mutant(
         "draining ends at once",
         f"{_COORDINATION}/replicas/controller.py",
-        "            if heard is None or report is None"
+        "            if probed_at is None or report is None"
         " or not report.is_quiet:\n",
-        "            if heard is None or report is None:\n",
+        "            if probed_at is None or report is None:\n",
         f"{_REPLICAS}.StopTest.test_stop_waits_for_the_request_in_flight",
     ),
     Mutant(
