--- a/currantwall/coordination/replicas/evidence.py
+++ b/currantwall/coordination/replicas/evidence.py
@@ -1,9 +1,9 @@
-"""Which replicas may be used, by the evidence at hand.
+"""Deciding from the observers' evidence which replicas may be used.
 
-A replica generation may be used while an observer has lately found every
-member alive in it, no observer holds proof of the contrary, and this
-node's own connections to it have not failed since. Evidence that grows
-old stops counting, so a node that is cut off stops by itself.
+A replica generation may be used if an observer has recently found every
+member alive in it, no observer has proof that it is broken, and no
+connection from this node to it has failed since. Evidence expires, so a
+node that is cut off from the observers stops using replicas by itself.
 """
 
 import msgspec
@@ -21,9 +21,9 @@
 
 __all__ = ["Evidence", "UpstreamFailed"]
 
-# Opinions of this many observers are kept for one subject: two, and
-# those of former ones until they grow old.
-_OBSERVER_LIMIT = 6
+# Number of observers whose evidence is kept for one subject: the two
+# current ones, and former ones whose evidence has not expired yet.
+_EVIDENCE_LIMIT = 6
 
 
 class UpstreamFailed(part.Message, frozen=True):
@@ -33,28 +33,33 @@
     generation: int
 
 
-class _Opinion(msgspec.Struct):
-    """What one observer last said, in this node's time."""
+class _ObserverEvidence(msgspec.Struct):
+    """The last evidence of one observer, with times of this node's clock.
+
+    Attributes:
+        probed_at: When the oldest probe behind the verdict was sent, at
+            the latest.
+        received_at: When the evidence arrived.
+    """
 
     verdict: wire.Verdict
     generation: int
     serial: int
-    # When the oldest probe behind the verdict was sent, at the latest.
-    seen: float
-    heard: float
+    probed_at: float
+    received_at: float
 
 
 class _Load(msgspec.Struct):
-    """Load that a leader last reported."""
+    """The load that the leader of a replica last reported."""
 
     running: int
     queued: int
-    at: float
+    probed_at: float
     cache_version: int = 0
 
 
 class Evidence(part.Part):
-    """Keeps the observers' opinions; asked by the router."""
+    """Keeps the observers' evidence and answers the router's queries."""
 
     def __init__(
         self,
@@ -63,127 +68,141 @@
     ) -> None:
         self._view = view
         self._ttl = settings.evidence_ttl
-        self._opinions: dict[str, dict[ids.NodeId, _Opinion]] = {}
+        self._by_subject: dict[str, dict[ids.NodeId, _ObserverEvidence]] = {}
         self._loads: dict[str, _Load] = {}
-        self._failed: dict[str, tuple[int, float]] = {}
+        # Generation and time of the last failed connection to a subject.
+        self._failures: dict[str, tuple[int, float]] = {}
         self._usable: set[str] = set()
 
-    # -- What the router asks
+    # -- Queries of the router
 
     def is_whole(self, subject: str, generation: int, now: float) -> bool:
-        """Return whether every member is known to be there."""
-        opinions = self._opinions.get(subject)
-        if not opinions:
+        """Return whether every member of a generation is known to be alive."""
+        by_observer = self._by_subject.get(subject)
+        if not by_observer:
             return False
-        whole = 0.0
-        for opinion in opinions.values():
-            if opinion.generation != generation:
+        whole_at = 0.0
+        for evidence in by_observer.values():
+            if evidence.generation != generation:
                 continue
-            if opinion.verdict is wire.Verdict.WHOLE:
-                whole = max(whole, opinion.seen)
-            elif self._condemns(opinion, now):
+            if evidence.verdict is wire.Verdict.WHOLE:
+                whole_at = max(whole_at, evidence.probed_at)
+            elif self._proves_broken(evidence, now):
                 return False
-        if not whole or now - whole > self._ttl:
+        if not whole_at or now - whole_at > self._ttl:
             return False
-        return not self._has_failed(subject, generation, whole)
+        return not self._connection_failed(subject, generation, whole_at)
 
     def may_use(
         self, ledger: domain.Domain, replica: domain.Replica, now: float
     ) -> bool:
-        """Return whether a replica may be given requests."""
+        """Return whether requests may be sent to a replica."""
         if replica.phase is not domain.ReplicaPhase.SERVING:
             return False
         if not self.is_whole(replica.id, replica.generation, now):
             return False
-        return self._knows_newest(replica.id, ledger.serial)
+        return self._has_current_ledger(replica.id, ledger.serial)
 
     def load_of(self, subject: str) -> tuple[int, float]:
-        """Return the last reported requests there, and when."""
+        """Return the last reported number of requests, and as of when."""
         load = self._loads.get(subject)
         if load is None:
             return 0, 0.0
-        return load.running + load.queued, load.at
+        return load.running + load.queued, load.probed_at
 
     def cache_version(self, subject: str) -> int:
-        """Return a number that changes when cache events were lost."""
+        """Return a number that changes when the leader's cache state is lost.
+
+        This happens when the leader restarts or cache events were lost.
+        """
         load = self._loads.get(subject)
         return load.cache_version if load else 0
 
-    def _condemns(self, opinion: _Opinion, now: float) -> bool:
-        """Return whether a bad opinion still stands.
+    def _proves_broken(self, evidence: _ObserverEvidence, now: float) -> bool:
+        """Return whether evidence proves that a replica is broken.
 
-        A broken verdict stands until its observer says otherwise or
-        falls silent for a time. Silence is no proof: the other
-        observer's newer probe of every member outweighs it.
+        A broken verdict counts until its observer sends another one or
+        sends none for two evidence TTLs. A silent verdict is no proof:
+        the other observer may have reached every member.
         """
-        if opinion.verdict is not wire.Verdict.BROKEN:
+        if evidence.verdict is not wire.Verdict.BROKEN:
             return False
-        return now - opinion.heard <= 2 * self._ttl
+        return now - evidence.received_at <= 2 * self._ttl
 
-    def _has_failed(self, subject: str, generation: int, whole: float) -> bool:
-        """Return whether this node's connection failed after the probe."""
-        failed = self._failed.get(subject)
+    def _connection_failed(
+        self, subject: str, generation: int, whole_at: float
+    ) -> bool:
+        """Return whether a connection of this node failed after a probe."""
+        failure = self._failures.get(subject)
         return (
-            failed is not None
-            and failed[0] == generation
-            and failed[1] >= whole
+            failure is not None
+            and failure[0] == generation
+            and failure[1] >= whole_at
         )
 
-    def _knows_newest(self, subject: str, serial: int) -> bool:
+    def _has_current_ledger(self, subject: str, serial: int) -> bool:
         """Return whether this node's ledger is as new as the observers'.
 
-        Failure: a node that lost the push of a drain still sees the
-        replica as serving, while its evidence stays fresh. The evidence
-        names the observers' ledger, so the node finds out and waits for
-        the repair.
+        Failure: a node that missed the update of a drain still takes the
+        replica as serving, while the evidence for it stays fresh. The
+        evidence carries the serial of the observers' ledger, so the node
+        detects this and waits until it has the newer ledger.
         """
-        opinions = self._opinions.get(subject, {})
-        return all(opinion.serial <= serial for opinion in opinions.values())
+        by_observer = self._by_subject.get(subject, {})
+        return all(
+            evidence.serial <= serial for evidence in by_observer.values()
+        )
 
-    # -- What it is told
+    # -- Messages
 
     @part.handles(wire.Evidence)
     def _on_evidence(
         self, message: messages.Delivered, now: float
     ) -> list[part.Action]:
         body = message.payload
-        opinions = self._opinions.setdefault(body.subject, {})
-        seen = now - message.age - body.age
-        opinions[message.origin] = _Opinion(
-            body.verdict, body.generation, body.serial, seen, now
+        by_observer = self._by_subject.setdefault(body.subject, {})
+        probed_at = now - message.age - body.age
+        by_observer[message.origin] = _ObserverEvidence(
+            body.verdict, body.generation, body.serial, probed_at, now
         )
-        if len(opinions) > _OBSERVER_LIMIT:
-            oldest = min(opinions, key=lambda node: opinions[node].heard)
-            del opinions[oldest]
+        if len(by_observer) > _EVIDENCE_LIMIT:
+            oldest = min(
+                by_observer, key=lambda node: by_observer[node].received_at
+            )
+            del by_observer[oldest]
         self._loads[body.subject] = _Load(
-            body.running, body.queued, seen, body.cache_version
+            body.running, body.queued, probed_at, body.cache_version
         )
-        return self._note_change(body.subject, body.generation, now)
+        return self._update_usable(body.subject, body.generation, now)
 
     @part.handles(UpstreamFailed)
     def _on_failed(
         self, message: UpstreamFailed, now: float
     ) -> list[part.Action]:
-        self._failed[message.subject] = (message.generation, now)
-        return self._note_change(message.subject, message.generation, now)
+        self._failures[message.subject] = (message.generation, now)
+        return self._update_usable(message.subject, message.generation, now)
 
     @part.handles(messages.ObjectChanged)
     def _on_object(self, message: messages.ObjectChanged, now: float) -> None:
-        """Forget subjects that no longer exist."""
+        """Discard data of subjects that no longer exist."""
         if message.stored.key.kind != objects.Kind.DOMAINS.value:
             return
-        alive = {
+        existing = {
             replica.id
-            for held in self._view.domains.values()
-            for replica in held.replicas
+            for ledger in self._view.domains.values()
+            for replica in ledger.replicas
         }
-        alive.update(self._view.instances)
-        for store in (self._opinions, self._loads, self._failed):
-            for subject in [name for name in store if name not in alive]:
-                del store[subject]
-        self._usable &= alive
-
-    def _note_change(
+        existing.update(self._view.instances)
+        for by_name in (self._by_subject, self._loads, self._failures):
+            for subject in [
+                subject_id
+                for subject_id in by_name
+                if subject_id not in existing
+            ]:
+                del by_name[subject]
+        self._usable &= existing
+
+    def _update_usable(
         self, subject: str, generation: int, now: float
     ) -> list[part.Action]:
         whole = self.is_whole(subject, generation, now)
--- a/currantwall/coordination/replicas/leases.py
+++ b/currantwall/coordination/replicas/leases.py
@@ -1,10 +1,11 @@
-"""Leases without comparing two clocks.
-
-A holder counts its lease from before it sent the renewal and stops early
-by a margin. A taker counts the whole ttl from its own first sight of the
-unchanged version. Whatever the clocks say, the holder stops before a
-taker may begin; and if a pause makes the holder miss its deadline, the
-taker has changed the object and the holder's conditional write fails.
+"""Leases that do not depend on synchronised clocks.
+
+A holder measures the TTL from before it sent the renewal and stops a
+margin before the end. Another node that wants the lease measures the
+whole TTL from when it first saw the current version. The holder thus
+always stops before another node may take the lease. If a pause makes the
+holder miss its deadline, the new holder has changed the object, and the
+old holder's conditional write fails.
 """
 
 from currantwall.state import domain
@@ -12,16 +13,17 @@
 
 __all__ = ["LeaseTracker", "is_candidate", "may_take"]
 
-# Writes remembered to date a lease that is settled by reading back.
-_SENT_LIMIT = 8
-# Nodes that may try for a lease, one after the other. The store may turn
-# away a third of the nodes while it serves the others: with six, one in
-# 700 leases finds nobody that can write it.
+# Number of writes whose send time is kept. A lease that is confirmed by a
+# later read counts from then.
+_SENT_WRITE_LIMIT = 8
+# Number of nodes that may try to take a lease, one after the other. The
+# store may refuse a third of the nodes while it serves the others. With six
+# candidates, one lease in 700 has none that can write it.
 _CANDIDATES = 6
 
 
 class LeaseTracker:
-    """What this process knows about the lease of one domain."""
+    """The lease of one domain as this process knows it."""
 
     def __init__(
         self, node: ids.NodeId, incarnation: ids.Incarnation, margin: float
@@ -31,13 +33,13 @@
         self._margin = margin
         self._version: ids.Version | None = None
         self._first_seen = 0.0
-        self._sent: dict[ids.AttemptId, float] = {}
+        self._sent_at: dict[ids.AttemptId, float] = {}
         self._deadline = 0.0
         self._lease: domain.Lease | None = None
 
     @property
     def deadline(self) -> float:
-        """Return until when this process may act as the holder."""
+        """Return the time until which this process may act as the holder."""
         return self._deadline
 
     def holds(self, now: float) -> bool:
@@ -54,9 +56,9 @@
     def is_lapsed(self, now: float) -> bool:
         """Return whether this process may take the lease.
 
-        Its own lease that ran out, as in an outage of the platform, it
-        may take again at once: nobody else can hold it unless the
-        version has changed.
+        It may retake its own lease at once after the lease has expired,
+        as in an outage of the platform: no other process can hold the
+        lease unless the version has changed.
         """
         if self._version is None or self.holds(now):
             return False
@@ -65,56 +67,62 @@
         return now >= self._first_seen + self._lease.ttl
 
     def is_silent(self, now: float, seconds: float) -> bool:
-        """Return whether nobody else's renewal was seen for some time."""
+        """Return whether no renewal by another node was seen for some time."""
         if self.holds(now):
             return False
         return self._version is None or now - self._first_seen > seconds
 
     def note_sent(self, attempt: ids.AttemptId, now: float) -> None:
-        """Remember when a write was sent, before it is."""
-        self._sent[attempt] = now
-        while len(self._sent) > _SENT_LIMIT:
-            del self._sent[next(iter(self._sent))]
+        """Record the time of a write; call this before sending it."""
+        self._sent_at[attempt] = now
+        while len(self._sent_at) > _SENT_WRITE_LIMIT:
+            del self._sent_at[next(iter(self._sent_at))]
 
     def see(
         self, version: ids.Version, held: domain.Domain | None, now: float
     ) -> None:
-        """Take note of a version read or written."""
+        """Record a version of the domain that was read or written.
+
+        Args:
+            version: The version of the stored object.
+            held: The domain stored there, None if there is none.
+            now: The time.
+        """
         if self._version is not None and version < self._version:
             return
         if version != self._version:
             self._version = version
             self._first_seen = now
         self._lease = held.lease if held else None
-        sent = self._sent.get(held.attempt) if held else None
-        if self.is_mine() and sent is not None:
+        sent_at = self._sent_at.get(held.attempt) if held else None
+        if self.is_mine() and sent_at is not None:
             ttl = self._lease.ttl if self._lease else 0.0
-            until = sent + ttl - self._margin
-            self._deadline = max(self._deadline, until)
+            deadline = sent_at + ttl - self._margin
+            self._deadline = max(self._deadline, deadline)
         elif not self.is_mine():
             self._deadline = 0.0
 
 
-def is_candidate(place: int) -> bool:
-    """Return whether a place in the order of preference is good enough."""
-    return place < _CANDIDATES
+def is_candidate(rank: int) -> bool:
+    """Return whether the node of this rank, from 0, may take a lease."""
+    return rank < _CANDIDATES
 
 
 def may_take(
-    tracker: LeaseTracker, place: int, patience: float, now: float
+    tracker: LeaseTracker, rank: int, delay: float, now: float
 ) -> bool:
     """Return whether a node should try for a lease now.
 
-    The load it answers: a holder is lost and all nodes see its lease
-    lapse in the same tenth of a second; each try is a paid write of which
-    one succeeds.
+    The delay by rank limits the number of writes: when a holder is lost,
+    all nodes see its lease expire within a tenth of a second. Each attempt
+    is a paid write, and only one of them succeeds.
 
     Args:
         tracker: What the node knows of the lease.
-        place: Its place in the order of preference, 0 first.
-        patience: Seconds that each candidate gives the one before it.
+        rank: Its rank in the order of preference, from 0.
+        delay: Seconds that each candidate waits for the one before it.
         now: Monotonic time.
     """
-    if not is_candidate(place) or not tracker.is_lapsed(now):
+    if not is_candidate(rank) or not tracker.is_lapsed(now):
         return False
-    return tracker.is_lapsed(now - place * patience)
+    return tracker.is_lapsed(now - rank * delay)
--- a/currantwall/coordination/replicas/observation.py
+++ b/currantwall/coordination/replicas/observation.py
@@ -1,16 +1,16 @@
-"""Observing upstream instances and saying which replicas are whole.
+"""Probing upstream instances and publishing verdicts on replicas.
 
-Each replica has two observers among the entry nodes, each instance that
-belongs to none has one, chosen by rendezvous hash in its data centre.
-An observer asks every member for its report, forms a verdict on the
-replica and publishes it: in batches while it stays whole, at once when
-it does not. What it sees of single instances goes to the holder of the
+Each replica has two observers among the entry nodes, and each engine has
+one, chosen by rendezvous hash in its data centre. An observer asks every
+member for its report, derives a verdict on the replica and publishes it:
+a verdict that is unchanged goes with the next batch, a changed one is
+sent at once. The state of each instance is sent to the holder of the
 domain's lease.
 
-A refused connection or a report of another generation is proof that the
-replica is broken. Silence is not: the member may be paused or the link
-cut. Silence ends this observer's evidence, and the other observer's may
-still stand.
+A refused connection or a report of another generation proves that the
+replica is broken. A missing answer does not, as the member may be paused
+or the link may be down. It only ends this observer's evidence that the
+replica is whole; the evidence of the other observer may remain valid.
 """
 
 import heapq
@@ -33,10 +33,10 @@
 __all__ = ["Observation", "choose_observers"]
 
 _REPLICA_OBSERVERS = 2
-_SPARE_OBSERVERS = 1
-# Every so many intervals the duties are worked out anew even when no
-# object or member has changed.
-_DUTY_SECONDS = 30.0
+_ENGINE_OBSERVERS = 1
+# Seconds after which the duties are assigned again even if no object or
+# member has changed.
+_ASSIGNMENT_INTERVAL = 30.0
 
 
 def choose_observers(
@@ -45,51 +45,63 @@
     nodes: views.MembersView,
     count: int,
 ) -> list[ids.NodeId]:
-    """Return the nodes that observe something in a data centre."""
+    """Return the nodes that observe a replica or instance.
+
+    They are chosen from the data centre, or from all nodes if it has no
+    usable one.
+
+    Args:
+        subject: Id of the replica or instance.
+        datacentre: Where it is.
+        nodes: The entry nodes.
+        count: How many observers it has.
+    """
     local = nodes.usable(datacentre) or nodes.usable()
     names = [member.id for member in local]
     return rendezvous.choose(f"observe:{subject}", names, count)
 
 
-def _hash_cache(report: instances.Report) -> int:
-    """Return a small number that changes with a restart or a gap."""
+def _hash_cache_state(report: instances.Report) -> int:
+    """Return a 16-bit number that changes with a restart or a cache gap."""
     text = f"{report.started} {report.generation} {report.cache_gaps}"
     return hashing.hash_text(text) % 65_536
 
 
-class _Watched(msgspec.Struct):
+class _ObservedInstance(msgspec.Struct):
     """An instance that this node observes.
 
     Attributes:
-        probed: When the probe under way or the last one was sent.
-        answered: When the last answered probe was sent.
-        failed: When the last failed probe was sent; 0 after an answer.
-        sighted: When the holder was last told.
+        next_probe: When the next probe is due.
+        probed_at: When the pending or else the last probe was sent.
+        answered_at: When the last answered probe was sent.
+        failed_at: When the last failed probe was sent; 0 after an answer.
+        refused: Whether the last probe failed with a refused connection.
+        sighting_sent_at: When a sighting was last sent to the holder.
     """
 
     address: str
     next_probe: float
-    probed: float = 0.0
-    waiting: bool = False
-    answered: float = 0.0
-    failed: float = 0.0
+    probed_at: float = 0.0
+    probe_pending: bool = False
+    answered_at: float = 0.0
+    failed_at: float = 0.0
     refused: bool = False
     report: instances.Report | None = None
-    sighted: float = 0.0
+    sighting_sent_at: float = 0.0
 
 
 class _Subject(msgspec.Struct):
-    """A replica or service instance that this node judges."""
+    """A replica or service instance that this node publishes verdicts on."""
 
     domain: ids.DomainName
     replica: domain.Replica | None
     members: tuple[ids.InstanceId, ...]
     verdict: wire.Verdict | None = None
-    published: float = 0.0
+    published_at: float = 0.0
 
 
 class Observation(part.Part):
-    """Probes instances and publishes evidence."""
+    """Probes instances, publishes evidence and sends sightings."""
 
     def __init__(
         self,
@@ -100,20 +112,20 @@
         self._view = view
         self._nodes = nodes
         self._settings = settings
-        self._watched: dict[ids.InstanceId, _Watched] = {}
+        self._observed: dict[ids.InstanceId, _ObservedInstance] = {}
         self._subjects: dict[str, _Subject] = {}
-        self._by_member: dict[ids.InstanceId, str] = {}
-        self._stale = True
-        self._next_duties = 0.0
-        # When to probe whom; an entry counts only while it still says
-        # what the instance's own next probe says.
-        self._planned: list[tuple[float, ids.InstanceId]] = []
+        self._subject_by_member: dict[ids.InstanceId, str] = {}
+        self._duties_outdated = True
+        self._next_assignment = 0.0
+        # Heap of probe times and instances. An entry is valid only if its
+        # time equals the instance's `next_probe`.
+        self._probe_queue: list[tuple[float, ids.InstanceId]] = []
 
     def due(self) -> float:
         """Return when the next tick is wanted."""
-        if self._planned:
-            return min(self._next_duties, self._planned[0][0])
-        return self._next_duties
+        if self._probe_queue:
+            return min(self._next_assignment, self._probe_queue[0][0])
+        return self._next_assignment
 
     # -- Duties
 
@@ -124,163 +136,174 @@
             objects.Kind.DOMAINS.value,
             objects.Kind.INSTANCES.value,
         ):
-            self._mark_stale(now)
+            self._request_assignment(now)
 
     @part.handles(messages.MemberChanged)
     def _on_member(self, message: messages.MemberChanged, now: float) -> None:
-        self._mark_stale(now)
+        self._request_assignment(now)
 
-    def _mark_stale(self, now: float) -> None:
-        self._stale = True
-        self._next_duties = min(self._next_duties, now)
+    def _request_assignment(self, now: float) -> None:
+        self._duties_outdated = True
+        self._next_assignment = min(self._next_assignment, now)
 
-    def _assign(self, now: float) -> None:
-        """Work out anew what this node observes."""
-        self._stale = False
-        self._next_duties = now + _DUTY_SECONDS
+    def _assign_duties(self, now: float) -> None:
+        """Determine which replicas and instances this node observes."""
+        self._duties_outdated = False
+        self._next_assignment = now + _ASSIGNMENT_INTERVAL
         subjects: dict[str, _Subject] = {}
-        for held in self._view.domains.values():
-            for replica in held.replicas:
-                if self._is_mine(replica.id, held.datacentre):
+        for ledger in self._view.domains.values():
+            for replica in ledger.replicas:
+                if self._is_replica_observer(replica.id, ledger.datacentre):
                     subjects[replica.id] = _Subject(
-                        held.name, replica, replica.members
+                        ledger.name, replica, replica.members
                     )
-        wanted = {m for s in subjects.values() for m in s.members}
+        instance_ids = {m for s in subjects.values() for m in s.members}
         for listed in self._view.instances.values():
             if listed.kind is instances.InstanceKind.SERVICE:
-                if self._is_mine(listed.id, listed.datacentre):
+                if self._is_replica_observer(listed.id, listed.datacentre):
                     subject = _Subject(listed.domain, None, (listed.id,))
                     subjects[listed.id] = subject
-                    wanted.add(listed.id)
-            elif self._is_spare_of_mine(listed):
-                wanted.add(listed.id)
-        self._keep_verdicts(subjects)
-        self._watch(wanted, now)
-
-    def _is_mine(self, subject: str, place: ids.DatacentreName) -> bool:
+                    instance_ids.add(listed.id)
+            elif self._is_engine_observer(listed):
+                instance_ids.add(listed.id)
+        self._replace_subjects(subjects)
+        self._update_observed(instance_ids, now)
+
+    def _is_replica_observer(
+        self, subject: str, datacentre: ids.DatacentreName
+    ) -> bool:
         chosen = choose_observers(
-            subject, place, self._nodes, _REPLICA_OBSERVERS
+            subject, datacentre, self._nodes, _REPLICA_OBSERVERS
         )
         return self._nodes.me.id in chosen
 
-    def _is_spare_of_mine(self, listed: instances.Instance) -> bool:
+    def _is_engine_observer(self, listed: instances.Instance) -> bool:
         if listed.kind is not instances.InstanceKind.ENGINE:
             return False
         chosen = choose_observers(
-            listed.id, listed.datacentre, self._nodes, _SPARE_OBSERVERS
+            listed.id, listed.datacentre, self._nodes, _ENGINE_OBSERVERS
         )
         return self._nodes.me.id in chosen
 
-    def _keep_verdicts(self, subjects: dict[str, _Subject]) -> None:
+    def _replace_subjects(self, subjects: dict[str, _Subject]) -> None:
         for name, subject in subjects.items():
-            held = self._subjects.get(name)
-            if held is not None and held.replica == subject.replica:
-                subject.verdict = held.verdict
-                subject.published = held.published
+            previous = self._subjects.get(name)
+            if previous is not None and previous.replica == subject.replica:
+                subject.verdict = previous.verdict
+                subject.published_at = previous.published_at
         self._subjects = subjects
-        self._by_member = {
+        self._subject_by_member = {
             member: name
             for name, subject in subjects.items()
             for member in subject.members
         }
 
-    def _watch(self, wanted: set[ids.InstanceId], now: float) -> None:
-        for instance in list(self._watched):
-            if instance not in wanted:
-                del self._watched[instance]
-        listed = self._view.instances
-        for instance in wanted:
-            line = listed.get(instance)
-            address = line.address if line else ""
-            held = self._watched.get(instance)
-            if held is not None and address:
-                held.address = address
-            elif held is None and address:
-                first = now + self._spread(instance)
-                self._watched[instance] = _Watched(address, first)
-                heapq.heappush(self._planned, (first, instance))
-
-    def _spread(self, instance: ids.InstanceId) -> float:
-        """Return a fixed delay below the interval, so probes spread."""
-        share = rendezvous.score(self._nodes.me.id, instance) % 1000 / 1000
-        return share * self._settings.observe_interval
+    def _update_observed(
+        self, instance_ids: set[ids.InstanceId], now: float
+    ) -> None:
+        for instance in list(self._observed):
+            if instance not in instance_ids:
+                del self._observed[instance]
+        listed_instances = self._view.instances
+        for instance in instance_ids:
+            listed = listed_instances.get(instance)
+            address = listed.address if listed else ""
+            observed = self._observed.get(instance)
+            if observed is not None and address:
+                observed.address = address
+            elif observed is None and address:
+                first_probe = now + self._compute_first_delay(instance)
+                self._observed[instance] = _ObservedInstance(
+                    address, first_probe
+                )
+                heapq.heappush(self._probe_queue, (first_probe, instance))
+
+    def _compute_first_delay(self, instance: ids.InstanceId) -> float:
+        """Return a fixed delay below the interval, to spread the probes."""
+        fraction = rendezvous.score(self._nodes.me.id, instance) % 1000 / 1000
+        return fraction * self._settings.observe_interval
 
     # -- Probing
 
     @part.handles(part.Tick)
     def _on_tick(self, _: part.Tick, now: float) -> list[part.Action]:
-        if self._stale or now >= self._next_duties:
-            self._assign(now)
-        found: list[part.Action] = []
-        while self._planned and self._planned[0][0] <= now:
-            at, instance = heapq.heappop(self._planned)
-            watched = self._watched.get(instance)
-            if watched is None or watched.next_probe != at:
+        if self._duties_outdated or now >= self._next_assignment:
+            self._assign_duties(now)
+        result: list[part.Action] = []
+        while self._probe_queue and self._probe_queue[0][0] <= now:
+            probe_at, instance = heapq.heappop(self._probe_queue)
+            observed = self._observed.get(instance)
+            if observed is None or observed.next_probe != probe_at:
                 continue
-            watched.waiting = True
-            watched.probed = now
-            watched.next_probe = now + self._settings.observe_interval
-            found.append(
+            observed.probe_pending = True
+            observed.probed_at = now
+            observed.next_probe = now + self._settings.observe_interval
+            result.append(
                 actions.Probe(
                     instance,
-                    watched.address,
+                    observed.address,
                     self._settings.observe_timeout,
                 )
             )
-        return found
+        return result
 
     @part.handles(messages.ProbeAnswered)
     def _on_probe(
         self, answer: messages.ProbeAnswered, now: float
     ) -> list[part.Action]:
-        watched = self._watched.get(answer.instance)
-        if watched is None or not watched.waiting:
+        observed = self._observed.get(answer.instance)
+        if observed is None or not observed.probe_pending:
             return []
-        watched.waiting = False
-        watched.next_probe = max(watched.next_probe, now)
-        entry = (watched.next_probe, answer.instance)
-        heapq.heappush(self._planned, entry)
-        changed = self._note(watched, answer)
+        observed.probe_pending = False
+        observed.next_probe = max(observed.next_probe, now)
+        entry = (observed.next_probe, answer.instance)
+        heapq.heappush(self._probe_queue, entry)
+        changed = self._store_answer(observed, answer)
         label = answer.outcome.value
-        found: list[part.Action] = [
+        result: list[part.Action] = [
             actions.Count(actions.Counter.PROBES, label)
         ]
-        found += self._tell_holder(answer.instance, watched, changed, now)
-        return found + self._judge(answer.instance, now)
+        result += self._send_sighting(answer.instance, observed, changed, now)
+        return result + self._publish_verdict(answer.instance, now)
 
     @staticmethod
-    def _note(watched: _Watched, answer: messages.ProbeAnswered) -> bool:
-        """Store an answer; return whether the holder must know at once."""
-        before = (watched.refused, watched.failed > 0, watched.report)
+    def _store_answer(
+        observed: _ObservedInstance, answer: messages.ProbeAnswered
+    ) -> bool:
+        """Store an answer; return whether the instance's state has changed."""
+        before = (observed.refused, observed.failed_at > 0, observed.report)
         if answer.report is not None:
-            watched.answered = watched.probed
-            watched.failed = 0.0
-            watched.refused = False
-            watched.report = answer.report
+            observed.answered_at = observed.probed_at
+            observed.failed_at = 0.0
+            observed.refused = False
+            observed.report = answer.report
         else:
-            watched.failed = watched.probed
+            observed.failed_at = observed.probed_at
             outcome = messages.ProbeOutcome.REFUSED
-            watched.refused = answer.outcome is outcome
-        after = (watched.refused, watched.failed > 0, watched.report)
+            observed.refused = answer.outcome is outcome
+        after = (observed.refused, observed.failed_at > 0, observed.report)
         return before != after
 
-    def _tell_holder(
+    def _send_sighting(
         self,
         instance: ids.InstanceId,
-        watched: _Watched,
-        changed: bool,
+        observed: _ObservedInstance,
+        is_change: bool,
         now: float,
     ) -> list[part.Action]:
-        due = now >= watched.sighted + self._settings.sighting_interval
+        """Send the state to the holder if it changed or a report is due."""
+        is_due = (
+            now >= observed.sighting_sent_at + self._settings.sighting_interval
+        )
         holder = self._find_holder(instance)
-        if holder is None or not (changed or due):
+        if holder is None or not (is_change or is_due):
             return []
-        watched.sighted = now
+        observed.sighting_sent_at = now
         body = wire.Sighting(
             instance=instance,
-            report=None if watched.failed else watched.report,
-            refused=watched.refused,
-            age=now - watched.probed,
+            report=None if observed.failed_at else observed.report,
+            refused=observed.refused,
+            age=now - observed.probed_at,
         )
         if holder == self._nodes.me.id:
             return [actions.Tell(messages.Received(holder, body))]
@@ -290,60 +313,67 @@
         listed = self._view.instances.get(instance)
         if listed is None or not listed.domain:
             return None
-        held = self._view.domains.get(listed.domain)
-        if held is None or held.lease is None:
+        ledger = self._view.domains.get(listed.domain)
+        if ledger is None or ledger.lease is None:
             return None
-        return held.lease.holder
+        return ledger.lease.holder
 
     # -- Verdicts
 
-    def _judge(
+    def _publish_verdict(
         self, instance: ids.InstanceId, now: float
     ) -> list[part.Action]:
-        name = self._by_member.get(instance)
+        """Publish the verdict that an instance affects, if that is due."""
+        name = self._subject_by_member.get(instance)
         if name is None:
             return []
         subject = self._subjects[name]
-        verdict = self._decide(subject, now)
+        verdict = self._compute_verdict(subject, now)
         if verdict is None:
             return []
         changed = verdict is not subject.verdict
         interval = self._settings.observe_interval
-        if not changed and now < subject.published + interval:
+        if not changed and now < subject.published_at + interval:
             return []
         subject.verdict = verdict
-        subject.published = now
+        subject.published_at = now
         evidence = self._make_evidence(name, subject, verdict, now)
-        found: list[part.Action] = [
+        result: list[part.Action] = [
             actions.Publish(evidence, urgent=changed),
             actions.Tell(messages.Delivered(self._nodes.me.id, evidence)),
         ]
         if changed:
             label = verdict.value
-            found.append(actions.Count(actions.Counter.VERDICTS, label))
-        return found
+            result.append(actions.Count(actions.Counter.VERDICTS, label))
+        return result
 
-    def _decide(self, subject: _Subject, now: float) -> wire.Verdict | None:
-        """Return the verdict, None while a member was never heard of."""
+    def _compute_verdict(
+        self, subject: _Subject, now: float
+    ) -> wire.Verdict | None:
+        """Return the verdict, None while a member has no probe result yet."""
         silent = False
         for member in subject.members:
-            watched = self._watched.get(member)
-            if watched is None or not (watched.answered or watched.failed):
+            observed = self._observed.get(member)
+            if observed is None or not (
+                observed.answered_at or observed.failed_at
+            ):
                 return None
-            if watched.refused or self._contradicts(subject, watched):
+            if observed.refused or self._contradicts_ledger(subject, observed):
                 return wire.Verdict.BROKEN
-            silent = silent or watched.failed > 0
+            silent = silent or observed.failed_at > 0
         return wire.Verdict.SILENT if silent else wire.Verdict.WHOLE
 
     @staticmethod
-    def _contradicts(subject: _Subject, watched: _Watched) -> bool:
-        """Return whether a report differs from what the ledger says.
+    def _contradicts_ledger(
+        subject: _Subject, observed: _ObservedInstance
+    ) -> bool:
+        """Return whether a report contradicts the ledger.
 
-        Failure: a member restarts, or wakes in an older generation, and
-        answers as if nothing had happened; its replica has lost it.
+        Failure: a member restarts, or resumes in an older generation, and
+        answers every probe, but no longer serves in its replica.
         """
-        report = watched.report
-        if report is None or watched.failed:
+        report = observed.report
+        if report is None or observed.failed_at:
             return False
         if subject.replica is None:
             return report.draining
@@ -360,18 +390,18 @@
         verdict: wire.Verdict,
         now: float,
     ) -> wire.Evidence:
-        watched = [self._watched[member] for member in subject.members]
-        leader = watched[0].report
-        oldest = min(one.answered for one in watched)
+        observed = [self._observed[member] for member in subject.members]
+        leader = observed[0].report
+        oldest = min(instance.answered_at for instance in observed)
         replica = subject.replica
-        held = self._view.domains.get(subject.domain)
+        ledger = self._view.domains.get(subject.domain)
         return wire.Evidence(
             subject=name,
             verdict=verdict,
             generation=replica.generation if replica else 0,
             age=now - oldest if verdict is wire.Verdict.WHOLE else 0.0,
-            serial=held.serial if held else 0,
+            serial=ledger.serial if ledger else 0,
             running=leader.running if leader else 0,
             queued=leader.queued if leader else 0,
-            cache_version=_hash_cache(leader) if leader else 0,
+            cache_version=_hash_cache_state(leader) if leader else 0,
         )
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -184,7 +184,7 @@
     Mutant(
         "leases read by nodes that may not hold them",
         f"{_COORDINATION}/replicas/leases.py",
-        "    return place < _CANDIDATES\n",
+        "    return rank < _CANDIDATES\n",
         "    return True\n",
         "tests.test_large_fleet.QuietTest"
         ".test_only_who_may_hold_a_lease_reads_it",
@@ -337,7 +337,7 @@
     Mutant(
         "broken verdict ignored",
         f"{_COORDINATION}/replicas/evidence.py",
-        "            elif self._condemns(opinion, now):\n"
+        "            elif self._proves_broken(evidence, now):\n"
         "                return False\n",
         "",
         f"{_REPLICAS}.LossTest.test_one_proof_outweighs_the_others_older_look",
@@ -345,15 +345,15 @@
     Mutant(
         "evidence never grows old",
         f"{_COORDINATION}/replicas/evidence.py",
-        "        if not whole or now - whole > self._ttl:\n",
-        "        if not whole:\n",
+        "        if not whole_at or now - whole_at > self._ttl:\n",
+        "        if not whole_at:\n",
         f"{_REPLICAS}.LossTest.test_cut_observers_end_requests"
         "_within_two_seconds",
     ),
     Mutant(
         "silence counts as proof",
         f"{_COORDINATION}/replicas/evidence.py",
-        "        if opinion.verdict is not wire.Verdict.BROKEN:\n"
+        "        if evidence.verdict is not wire.Verdict.BROKEN:\n"
         "            return False\n",
         "",
         f"{_REPLICAS}.LossTest.test_one_cut_observer_condemns_nothing",
@@ -370,8 +370,8 @@
     Mutant(
         "no margin on the lease",
         f"{_COORDINATION}/replicas/leases.py",
-        "            until = sent + ttl - self._margin\n",
-        "            until = now + ttl\n",
+        "            deadline = sent_at + ttl - self._margin\n",
+        "            deadline = now + ttl\n",
         f"{_REPLICAS}.LeaseTest.test_order_is_not_sent_after_the_deadline",
     ),
     Mutant(
