--- a/currantwall/coordination/replicas/controller.py
+++ b/currantwall/coordination/replicas/controller.py
@@ -282,7 +282,7 @@
         before = self._ledger
         self._version = version
         self._ledger = value
-        self._lease.see(version, value, now)
+        self._lease.record_version(version, value, now)
         result = self._update_holding(now)
         if stored is None or value is None:
             return result
--- a/currantwall/coordination/replicas/evidence.py
+++ b/currantwall/coordination/replicas/evidence.py
@@ -103,7 +103,7 @@
             return False
         return self._has_current_ledger(replica.id, ledger.serial)
 
-    def load_of(self, subject: str) -> tuple[int, float]:
+    def get_load(self, subject: str) -> tuple[int, float]:
         """Return the last reported number of requests, and as of when."""
         load = self._loads.get(subject)
         if load is None:
--- a/currantwall/coordination/replicas/leases.py
+++ b/currantwall/coordination/replicas/leases.py
@@ -66,7 +66,7 @@
             return True
         return now >= self._first_seen + self._lease.ttl
 
-    def is_silent(self, now: float, seconds: float) -> bool:
+    def is_stale(self, now: float, seconds: float) -> bool:
         """Return whether no renewal by another node was seen for some time."""
         if self.holds(now):
             return False
@@ -78,7 +78,7 @@
         while len(self._sent_at) > _SENT_WRITE_LIMIT:
             del self._sent_at[next(iter(self._sent_at))]
 
-    def see(
+    def record_version(
         self, version: ids.Version, held: domain.Domain | None, now: float
     ) -> None:
         """Record a version of the domain that was read or written.
--- a/currantwall/coordination/requests/routing.py
+++ b/currantwall/coordination/requests/routing.py
@@ -421,7 +421,7 @@
 
     def estimate_load(self, subject: str) -> int:
         """Return the estimated number of requests at an upstream."""
-        reported, reported_at = self._evidence.load_of(subject)
+        reported, reported_at = self._evidence.get_load(subject)
         local = self._local_loads.get(subject)
         return local.estimate(reported, reported_at) if local else reported
 
--- a/currantwall/transport/domainleases.py
+++ b/currantwall/transport/domainleases.py
@@ -101,7 +101,7 @@
         untold = [
             one
             for one in self._leases.values()
-            if one.tracker.is_silent(now, _UNTOLD)
+            if one.tracker.is_stale(now, _UNTOLD)
         ]
         if not untold:
             return
@@ -168,7 +168,7 @@
                 self._see(one, stored, now)
             elif one.revision is None:
                 one.revision = 0
-                one.tracker.see(ids.Version(0), None, now)
+                one.tracker.record_version(ids.Version(0), None, now)
         self._looked = True
 
     def _see(
@@ -186,7 +186,7 @@
             held = None
         one.revision = stored.revision
         self._presence.staleness.note_revision(stored.revision, now)
-        one.tracker.see(ids.Version(stored.revision), held, now)
+        one.tracker.record_version(ids.Version(stored.revision), held, now)
         if held is not None and held.lease is not None:
             one.fence = held.lease.epoch
             one.holder = held.lease.holder
@@ -233,7 +233,7 @@
                 datacentre=self._presence.me.datacentre,
                 lease=lease,
             )
-            one.tracker.see(ids.Version(told.revision), value, now)
+            one.tracker.record_version(ids.Version(told.revision), value, now)
 
     def _may_take(self, one: DomainLease, now: float) -> bool:
         if one.writing or now < one.next_try:
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -269,7 +269,7 @@
             attempt=ids.AttemptId("t1"),
         )
         tracker.note_sent(ids.AttemptId("t1"), 100.0)
-        tracker.see(ids.Version(1), held, 103.0)
+        tracker.record_version(ids.Version(1), held, 103.0)
         self.assertEqual(108.0, tracker.deadline)
         self.assertTrue(tracker.holds(107.9))
         self.assertFalse(tracker.holds(108.0))
@@ -288,8 +288,8 @@
             datacentre=ids.DatacentreName("x"),
             lease=lease,
         )
-        tracker.see(ids.Version(1), held, 100.0)
-        tracker.see(ids.Version(2), held, 105.0)
+        tracker.record_version(ids.Version(1), held, 100.0)
+        tracker.record_version(ids.Version(2), held, 105.0)
         self.assertFalse(tracker.is_lapsed(113.9))
         self.assertTrue(tracker.is_lapsed(114.0))
 
