--- a/currantwall/coordination/replicas/__init__.py
+++ b/currantwall/coordination/replicas/__init__.py
@@ -1,7 +1,9 @@
-"""Which instances form which replicas, and who may say so.
+"""Assignment of instances to replicas, and the right to decide on it.
 
-In come reports of instances and leases; out come orders to instances. A
-gateway's holder of a domain plans with `formation` by what `knowledge`
-holds; an entry of the product's own interface plans with `placement` and
-`repair` over a stored ledger, led by `controller`. Start with `leases`.
+The input is the reports of the instances and the leases of the domains;
+the output is orders to instances. A gateway that holds the lease of a
+domain plans with `formation`, from the reports kept in `knowledge`. An
+entry node of the product's own interface plans with `placement` and
+`repair` over a stored ledger; `controller` runs them. Start reading with
+`leases`.
 """
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -340,7 +340,7 @@
         "            elif self._proves_broken(evidence, now):\n"
         "                return False\n",
         "",
-        f"{_REPLICAS}.LossTest.test_one_proof_outweighs_the_others_older_look",
+        f"{_REPLICAS}.LossTest.test_proof_of_one_observer_outweighs_an_older_probe",
     ),
     Mutant(
         "evidence never grows old",
@@ -356,7 +356,7 @@
         "        if evidence.verdict is not wire.Verdict.BROKEN:\n"
         "            return False\n",
         "",
-        f"{_REPLICAS}.LossTest.test_one_cut_observer_condemns_nothing",
+        f"{_REPLICAS}.LossTest.test_one_cut_observer_does_not_end_service",
     ),
     Mutant(
         "own lapsed lease is left alone",
@@ -379,7 +379,7 @@
         f"{_COORDINATION}/replicas/leases.py",
         "            self._first_seen = now\n",
         "            self._first_seen = self._first_seen or now\n",
-        f"{_REPLICAS}.LeaseTest.test_taker_counts_the_whole_ttl_itself",
+        f"{_REPLICAS}.LeaseTest.test_candidate_measures_the_whole_ttl_itself",
     ),
     Mutant(
         "grant not asked for",
@@ -387,7 +387,7 @@
         "    if held + accelerators > share.granted:\n        return None\n",
         "",
         f"{_REPLICAS}.CapacityTest"
-        ".test_larger_replicas_do_not_pass_the_capacity",
+        ".test_larger_replicas_do_not_exceed_the_capacity",
     ),
     Mutant(
         "grant lowered below what is held",
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -1,4 +1,4 @@
-"""Replicas under failure: leases, fencing, evidence, grants, drains."""
+"""Tests replicas under failure: leases, fencing, evidence, grants, drains."""
 
 from collections import abc
 import unittest
@@ -25,7 +25,7 @@
 from tests import invariants
 
 _ENTRIES = {"r1": "regina", "r2": "regina", "w1": "winnipeg"}
-_FAST = """
+_FAST_SETTINGS = """
 [replicas]
 load_time = 5
 restart_time = 10
@@ -59,17 +59,17 @@
     domains = [
         sites.DomainSpec(
             name=name,
-            datacentre=place,
+            datacentre=datacentre,
             engines=engines,
             checks_epoch=checks_epoch,
         )
-        for name, place in (("fa", "regina"), ("fb", "winnipeg"))
+        for name, datacentre in (("fa", "regina"), ("fb", "winnipeg"))
     ]
-    return sites.make_site(_ENTRIES, domains, seed=seed, extra=_FAST)
+    return sites.make_site(_ENTRIES, domains, seed=seed, extra=_FAST_SETTINGS)
 
 
 class ReplicaCase(unittest.TestCase):
-    """Starts a site with two replicas and watches the promises."""
+    """Starts a site with two replicas and checks the invariants."""
 
     def start(
         self, world: virtual.World | None = None, profile: str = ""
@@ -96,41 +96,45 @@
     def list_replicas(self) -> list[domain.Replica]:
         return [
             replica
-            for held in self.watcher.read_domains()
-            for replica in held.replicas
+            for ledger in self.watcher.read_domains()
+            for replica in ledger.replicas
         ]
 
     def list_serving(self) -> list[domain.Replica]:
         phase = domain.ReplicaPhase.SERVING
-        return [one for one in self.list_replicas() if one.phase is phase]
+        return [
+            replica
+            for replica in self.list_replicas()
+            if replica.phase is phase
+        ]
 
     def find_holder(self, name: str) -> virtual.Host:
-        for held in self.watcher.read_domains():
-            if held.name == name and held.lease is not None:
-                return self.host(held.lease.holder)
+        for ledger in self.watcher.read_domains():
+            if ledger.name == name and ledger.lease is not None:
+                return self.host(ledger.lease.holder)
         raise AssertionError(f"{name} has no holder")
 
     def count_routes(self, subject: str) -> int:
-        found = 0
+        count = 0
         for host in self.world.hosts.values():
             if not host.alive or host.paused:
                 continue
             answer = sites.route(host, "counter")
             if isinstance(answer, routing.Route):
-                found += answer.subject == subject
-        return found
+                count += answer.subject == subject
+        return count
 
 
 class LossTest(ReplicaCase):
     def measure_until_unused(self, replica: domain.Replica) -> float:
-        """Return the seconds until no entry uses a replica."""
+        """Return the seconds until no entry node uses a replica."""
         started = self.world.now
 
         def is_unused() -> bool:
             for host in self.world.hosts.values():
-                held = host.node.view.domains.get("fa")
-                if held is not None and host.node.evidence.may_use(
-                    held, replica, self.world.now
+                ledger = host.node.view.domains.get("fa")
+                if ledger is not None and host.node.evidence.may_use(
+                    ledger, replica, self.world.now
                 ):
                     return False
             return True
@@ -142,120 +146,123 @@
         return next(r for r in self.list_serving() if "fa" in r.id)
 
     def test_dead_member_ends_requests_within_two_seconds(self) -> None:
-        # A member's process dies; its replica answers nothing any more.
-        # Counter staff would wait for answers that never come. The
-        # observers find the port closed and tell everybody at once.
+        # Failure: a member's process dies, and requests wait for answers
+        # that never come. The observers find the port closed and publish
+        # this at once.
         self.start()
         replica = self.find_replica()
         self.engine(replica.members[1]).alive = False
         self.assertLess(self.measure_until_unused(replica), 1.1)
 
     def test_silent_member_ends_requests_within_two_seconds(self) -> None:
-        # A member's machine hangs: connections stay open, no answer
-        # comes. Nobody is refused, so only the age of the evidence and
-        # the probe's timeout can end the requests.
+        # Failure: a member's machine hangs. Connections stay open without
+        # an answer and none is refused, so only the age of the evidence
+        # and the probe's timeout can end the requests.
         self.start()
         replica = self.find_replica()
         self.engine(replica.members[1]).paused = True
         self.assertLess(self.measure_until_unused(replica), 2.0)
 
     def test_cut_observers_end_requests_within_two_seconds(self) -> None:
-        # The observers lose their link to the entries, then a member
-        # dies. No bad news can come; the good news must grow old.
+        # Failure: the observers lose their links to the entry nodes, then
+        # a member dies. No new verdict can arrive, so the old evidence
+        # has to expire.
         self.start()
         replica = self.find_replica()
         self.world.cut = lambda a, b: {a, b} <= {"r1", "r2", "w1"}
         self.engine(replica.members[1]).alive = False
         self.assertLess(self.measure_until_unused(replica), 2.0)
 
-    def test_one_cut_observer_condemns_nothing(self) -> None:
-        # One entry loses its link to a whole fabric domain. It finds all
-        # members silent, but they live and the other observer says so;
-        # the replica must go on serving through the other entries.
+    def test_one_cut_observer_does_not_end_service(self) -> None:
+        # Failure: one entry node loses its link to a whole fabric domain
+        # and finds all members silent, although they are alive. The other
+        # observer still reaches them, so the other entry nodes must keep
+        # using the replica.
         self.start()
         replica = self.find_replica()
         self.world.cut = lambda a, b: a == "r1" and b.startswith("fa")
         self.world.run(self.world.now + 4.0)
-        held = self.host("w1").node.view.domains["fa"]
+        ledger = self.host("w1").node.view.domains["fa"]
         now = self.world.now
         self.assertTrue(
-            self.host("w1").node.evidence.may_use(held, replica, now)
+            self.host("w1").node.evidence.may_use(ledger, replica, now)
         )
 
     def test_member_that_restarts_at_once_is_noticed(self) -> None:
-        # A member restarts between two probes and answers as if nothing
-        # had happened, but without its model. Requests would fail.
+        # Failure: a member restarts between two probes and answers the
+        # next one, but without its model, so requests fail.
         self.start()
         replica = self.find_replica()
         self.engine(replica.members[1]).restart()
         self.assertLess(self.measure_until_unused(replica), 1.1)
         self.run_until(lambda: len(self.list_serving()) == 2, 60.0)
 
-    def test_one_proof_outweighs_the_others_older_look(self) -> None:
-        # One observer finds a member's port closed while the other's
-        # last look, a moment ago, found all members there. Waiting for
-        # the other to look again would send requests into the hole.
+    def test_proof_of_one_observer_outweighs_an_older_probe(self) -> None:
+        # Failure: one observer finds a member's port closed, while the
+        # other observer's last probe found all members alive. Until its
+        # next probe, requests would go to a broken replica.
         self.start()
         replica = self.find_replica()
         node = self.host("w1").node
         now = self.world.now
 
-        def tell(origin: str, verdict: wire.Verdict) -> None:
+        def send_evidence(origin: str, verdict: wire.Verdict) -> None:
             evidence = wire.Evidence(
                 subject=replica.id,
                 verdict=verdict,
                 generation=replica.generation,
             )
-            told = messages.Delivered(ids.NodeId(origin), evidence)
-            node.handle(told, now)
+            message = messages.Delivered(ids.NodeId(origin), evidence)
+            node.handle(message, now)
 
-        tell("r1", wire.Verdict.WHOLE)
-        tell("r2", wire.Verdict.BROKEN)
+        send_evidence("r1", wire.Verdict.WHOLE)
+        send_evidence("r2", wire.Verdict.BROKEN)
         generation = replica.generation
         self.assertFalse(node.evidence.is_whole(replica.id, generation, now))
-        tell("r2", wire.Verdict.SILENT)
+        send_evidence("r2", wire.Verdict.SILENT)
         self.assertTrue(node.evidence.is_whole(replica.id, generation, now))
 
     def test_lost_member_is_replaced_by_the_spare(self) -> None:
-        # A member dies for good. The domain has one free instance; the
-        # replica must come back with it, as a new generation.
+        # Failure: a member dies for good. The domain has one free
+        # instance, with which the replica must serve again as a new
+        # generation.
         self.start()
         replica = self.find_replica()
         self.engine(replica.members[0]).alive = False
 
         def is_mended() -> bool:
             return any(
-                one.id == replica.id and one.generation > replica.generation
-                for one in self.list_serving()
+                each.id == replica.id and each.generation > replica.generation
+                for each in self.list_serving()
             )
 
         self.run_until(is_mended, 60.0)
 
 
 class LeaseTest(ReplicaCase):
-    def test_paused_holder_wakes_and_changes_nothing(self) -> None:
-        # The holder of a domain stands still past its lease, another
-        # takes over and mends a replica. The old one wakes, believing it
-        # still holds the lease, and would place the same instances.
+    def test_holder_that_resumes_after_its_lease_changes_nothing(self) -> None:
+        # Failure: the holder of a domain is paused until after its lease,
+        # and another node takes over and repairs a replica. The old holder
+        # resumes as if it held the lease and places the same instances.
         self.start()
-        old = self.find_holder("fa")
-        old.pause()
-        self.run_until(lambda: self.find_holder("fa") is not old, 40.0)
-        new = self.find_holder("fa")
+        old_holder = self.find_holder("fa")
+        old_holder.pause()
+        self.run_until(lambda: self.find_holder("fa") is not old_holder, 40.0)
+        new_holder = self.find_holder("fa")
         replica = next(r for r in self.list_serving() if "fa" in r.id)
         self.engine(replica.members[0]).alive = False
         self.world.run(self.world.now + 20.0)
-        old.resume()
+        old_holder.resume()
         self.world.run(self.world.now + 20.0)
-        self.assertIs(new, self.find_holder("fa"))
-        lost = timeline.EventKind.LEASE_LOST
-        kinds = [record.kind for _, record in old.records]
-        self.assertIn(lost, kinds)
+        self.assertIs(new_holder, self.find_holder("fa"))
+        lease_lost = timeline.EventKind.LEASE_LOST
+        kinds = [record.kind for _, record in old_holder.records]
+        self.assertIn(lease_lost, kinds)
 
     def test_order_is_not_sent_after_the_deadline(self) -> None:
-        # A holder decides on an order, stands still, and the order
-        # leaves when the lease is another's. An engine that ignores the
-        # fencing number would obey it.
+        # Failure: a holder decides on an order, is paused, and the order
+        # is sent when another node holds the lease. An engine that ignores
+        # the fencing number carries it out.
         tracker = leases.LeaseTracker(
             ids.NodeId("a"), ids.Incarnation(1), margin=1.0
         )
@@ -274,9 +281,9 @@
         self.assertTrue(tracker.holds(107.9))
         self.assertFalse(tracker.holds(108.0))
 
-    def test_taker_counts_the_whole_ttl_itself(self) -> None:
-        # A renewal takes long to be seen. A taker that trusted the
-        # holder's clock would take a lease that still runs.
+    def test_candidate_measures_the_whole_ttl_itself(self) -> None:
+        # Failure: a renewal is seen late, and a candidate that counts from
+        # the holder's clock takes a lease that has not expired.
         tracker = leases.LeaseTracker(
             ids.NodeId("b"), ids.Incarnation(1), margin=1.0
         )
@@ -294,24 +301,25 @@
         self.assertTrue(tracker.is_lapsed(114.0))
 
     def test_leases_are_taken_again_after_an_outage(self) -> None:
-        # The platform is down for minutes and all leases run out. Every
-        # holder saw its own name in the ledger and left the lease alone,
-        # so nothing was mended any more, until the process restarted.
+        # Failure: the platform is down for minutes and all leases expire.
+        # Every holder then finds its own name in the ledger and does not
+        # take the lease again, so nothing is repaired until its process
+        # restarts.
         self.start()
         self.world.platform.down = True
         self.world.run(self.world.now + 120.0)
         self.assertEqual(2, len(self.list_serving()))
         self.world.platform.down = False
         self.world.run(self.world.now + 30.0)
-        # The only entry of its data centre holds this domain.
+        # The only entry node of its data centre holds this domain.
         replica = next(r for r in self.list_serving() if "fb" in r.id)
         self.engine(replica.members[0]).alive = False
         self.run_until(
             lambda: (
                 all(
-                    one.generation > replica.generation
-                    for one in self.list_serving()
-                    if one.id == replica.id
+                    each.generation > replica.generation
+                    for each in self.list_serving()
+                    if each.id == replica.id
                 )
                 and len(self.list_serving()) == 2
             ),
@@ -319,7 +327,7 @@
         )
 
     def test_outage_does_not_end_service(self) -> None:
-        # The platform is down; what serves must go on serving.
+        # Failure: the platform is down, and serving replicas stop serving.
         self.start()
         self.world.platform.down = True
         self.world.run(self.world.now + 60.0)
@@ -330,13 +338,13 @@
 
 class FencingTest(ReplicaCase):
     def test_engine_that_ignores_epochs_is_held_back(self) -> None:
-        # A former holder's order reaches an engine that ignores the
-        # fencing number, and the engine leaves its replica. The replica
-        # may not serve, and the engine is brought back or replaced.
+        # Failure: a former holder's order reaches an engine that ignores
+        # the fencing number, and the engine leaves its replica. The
+        # replica must not be used until the engine is back or replaced.
         self.start(make_world(checks_epoch=False))
         replica = next(r for r in self.list_serving() if "fa" in r.id)
         engine = self.engine(replica.members[1])
-        old = actions.Order(
+        late_order = actions.Order(
             kind=actions.OrderKind.FORM,
             epoch=ids.Epoch(0),
             replica=ids.ReplicaId("of-old"),
@@ -345,7 +353,7 @@
             model="aftercare",
             model_version="1",
         )
-        engine.model.take_order(old, self.world.now)
+        engine.model.take_order(late_order, self.world.now)
         self.world.run(self.world.now + invariants.GRACE)
         self.assertEqual(0, self.count_routes(replica.id))
         self.run_until(lambda: len(self.list_serving()) == 2, 60.0)
@@ -355,26 +363,29 @@
         )
 
     def test_checking_engine_refuses_an_old_epoch(self) -> None:
-        # The same late order at an engine that checks: it is refused.
+        # Failure: the same late order reaches an engine that checks the
+        # fencing number, and is carried out instead of refused.
         self.start()
         replica = next(r for r in self.list_serving() if "fa" in r.id)
         engine = self.engine(replica.members[1])
-        old = actions.Order(kind=actions.OrderKind.RELEASE, epoch=ids.Epoch(0))
-        self.assertFalse(engine.model.take_order(old, self.world.now))
+        late_order = actions.Order(
+            kind=actions.OrderKind.RELEASE, epoch=ids.Epoch(0)
+        )
+        self.assertFalse(engine.model.take_order(late_order, self.world.now))
 
 
 class CapacityTest(ReplicaCase):
     def test_lowered_capacity_is_freed_and_never_exceeded(self) -> None:
-        # Finance lowers a profile's capacity while two replicas serve.
-        # One must drain, and nothing more may be granted meanwhile.
+        # Failure: a profile's capacity is lowered while two replicas serve,
+        # and both stay, or more is granted before one has drained.
         self.start()
         wanted = sites.parse(make_profile(replicas=1, capacity=8))
         sites.store_profile(self.world, wanted)
         self.run_until(lambda: len(self.list_replicas()) == 1, 60.0)
 
     def test_capacity_bounds_what_is_held(self) -> None:
-        # A profile asks for more replicas than its capacity allows, and
-        # there is room. The bill must not follow the wish.
+        # Failure: a profile asks for more replicas than its capacity
+        # allows, and they are formed and billed because there is room.
         self.start(make_world(engines=5))
         wanted = sites.parse(make_profile(replicas=3, capacity=16))
         sites.store_profile(self.world, wanted)
@@ -382,8 +393,8 @@
         self.assertEqual(2, len(self.list_replicas()))
 
     def test_larger_replicas_wait_for_their_grant(self) -> None:
-        # The size of a profile's replicas is raised. A replica that is
-        # formed anew holds more than before: only once it is granted.
+        # Failure: the size of a profile's replicas is raised, and a new
+        # generation holds more instances before they are granted.
         self.start(profile=make_profile(capacity=24))
         wanted = sites.parse(make_profile(capacity=24, size=3))
         sites.store_profile(self.world, wanted)
@@ -393,9 +404,9 @@
         )
 
     def test_share_of_a_former_holder_is_not_used(self) -> None:
-        # A new holder uses what was granted before it has written its
-        # own epoch there. A late write of the former holder then gives
-        # the grant away while it is in use.
+        # Failure: a new holder uses a grant before it has written its own
+        # epoch there. A late write of the former holder then releases the
+        # grant while it is in use.
         self.start()
         node = self.find_holder("fa").node
         name = ids.DomainName("fa")
@@ -405,10 +416,10 @@
         later = ids.Epoch(epoch + 1)
         self.assertEqual({}, keeper.list_usable(later))
 
-    def test_larger_replicas_do_not_pass_the_capacity(self) -> None:
-        # The size of the replicas is raised, and the capacity allows one
-        # of that size only. Reworking both in place would bill for more
-        # than the profile may hold.
+    def test_larger_replicas_do_not_exceed_the_capacity(self) -> None:
+        # Failure: the size of the replicas is raised, and the capacity
+        # allows only one of that size. Renewing both in place would hold
+        # and bill more than the capacity.
         self.start()
         wanted = sites.parse(make_profile(capacity=16, size=3))
         sites.store_profile(self.world, wanted)
@@ -417,9 +428,9 @@
         self.assertLessEqual(held, 16)
 
     def test_lost_and_late_writes_never_exceed_the_grant(self) -> None:
-        # The platform applies writes late and loses their answers while
-        # the number of replicas goes up and down. A grant given back by
-        # a write that lands late would be held by two domains at once.
+        # Failure: the platform applies writes late and loses their answers
+        # while the number of replicas changes. A grant that is released by
+        # a late write is then held by two domains at once.
         self.start()
         self.world.platform.lose = 0.2
         self.world.platform.late = 0.2
@@ -431,8 +442,8 @@
         self.run_until(lambda: len(self.list_serving()) == 2, 120.0)
 
     def test_new_version_rolls_over_without_a_gap(self) -> None:
-        # The model's version changes. There is capacity for a third
-        # replica, so two must serve at every moment of the change.
+        # Failure: the model's version changes, and fewer than two replicas
+        # serve at some moment, although there is capacity for a third.
         self.start(make_world(engines=4), make_profile(capacity=24))
         wanted = sites.parse(make_profile(capacity=24, version=2))
         sites.store_profile(self.world, wanted)
@@ -448,9 +459,9 @@
         self.run_until(is_over, 200.0)
         self.assertEqual(2, least)
 
-    def test_new_version_without_room_goes_one_by_one(self) -> None:
-        # No capacity for a third replica: one at a time is reworked in
-        # place, and at least one serves at every moment.
+    def test_new_version_without_room_replaces_one_at_a_time(self) -> None:
+        # Failure: the model's version changes without capacity for a third
+        # replica, and both are replaced at once, so that none serves.
         self.start()
         sites.store_profile(self.world, sites.parse(make_profile(version=2)))
         least = 2
@@ -467,8 +478,8 @@
 
 class ClassesTest(ReplicaCase):
     def test_higher_class_gets_the_room(self) -> None:
-        # A batch profile fills the site. The gate's profile is edited to
-        # want a replica; without giving way it would wait for ever.
+        # Failure: a profile of a lower class uses all instances, and a
+        # critical profile that is edited to want a replica waits for ever.
         self.start(make_world(engines=2))
         urgent = sites.parse(
             make_profile(replicas=1).replace("counter", "gate")
@@ -477,16 +488,20 @@
         sites.store_profile(self.world, urgent)
 
         def is_serving() -> bool:
-            names = sorted(one.profile for one in self.list_serving())
+            names = sorted(replica.profile for replica in self.list_serving())
             return names == ["counter", "gate"]
 
         self.run_until(is_serving, 120.0)
         self.world.run(self.world.now + 60.0)
-        self.assertTrue(is_serving(), "the room is taken back and forth")
+        self.assertTrue(
+            is_serving(),
+            "the profiles take the instances from each other in turn",
+        )
 
     def test_adapters_are_loaded_without_a_gap(self) -> None:
-        # Only the adapters of a profile change. The replicas load them
-        # beside the model and serve on in the same generation.
+        # Failure: only the adapters of a profile change, and the replicas
+        # are formed again instead of loading the adapters while they serve
+        # in the same generation.
         self.start()
         before = {r.id: r.generation for r in self.list_serving()}
         text = make_profile() + "adapters = lot-notes\n"
@@ -498,7 +513,7 @@
                 self.engine(name).model.report(self.world.now)
                 for name in members
             ]
-            return all(one.adapters == ("lot-notes",) for one in reports)
+            return all(report.adapters == ("lot-notes",) for report in reports)
 
         self.run_until(is_loaded, 20.0)
         after = {r.id: r.generation for r in self.list_serving()}
@@ -513,30 +528,31 @@
         self.world.platform.wake()
 
     def test_stop_waits_for_the_request_in_flight(self) -> None:
-        # An instance is to be stopped while its replica answers a long
-        # request. The replica gets no new ones, and the instance stays
-        # in it until the last answer is out.
+        # Failure: a stop is planned for an instance whose replica answers
+        # a long request, and the instance leaves before the answer is
+        # complete, or the replica gets new requests.
         self.start()
         replica = next(r for r in self.list_serving() if "fa" in r.id)
         self.engine(replica.leader).model.running = 1
         self.plan_stop(stops.StopScope.INSTANCE, replica.members[1])
         self.world.run(self.world.now + 60.0)
-        held = {r.id: r for r in self.list_replicas()}
-        self.assertEqual(replica.members, held[replica.id].members)
+        replicas = {r.id: r for r in self.list_replicas()}
+        self.assertEqual(replica.members, replicas[replica.id].members)
         self.assertEqual(0, self.count_routes(replica.id))
         self.engine(replica.leader).model.running = 0
         self.run_until(
             lambda: all(
-                replica.members[1] not in one.members
-                for one in self.list_replicas()
+                replica.members[1] not in each.members
+                for each in self.list_replicas()
             ),
             30.0,
         )
         self.run_until(lambda: len(self.list_serving()) == 2, 60.0)
 
-    def test_stop_of_a_domain_builds_elsewhere_first(self) -> None:
-        # A whole domain is to be stopped, and the other has room and
-        # capacity for one more. The replacement serves before the drain.
+    def test_stop_of_a_domain_forms_replacements_first(self) -> None:
+        # Failure: a stop is planned for a whole domain, and its replica is
+        # drained before the replacement serves, although the other domain
+        # has the room and the profile the capacity for it.
         self.start(make_world(engines=5), make_profile(capacity=24))
         least = 2
 
@@ -544,7 +560,7 @@
             nonlocal least
             serving = self.list_serving()
             least = min(least, len(serving))
-            return all("fb" in one.id for one in self.list_replicas())
+            return all("fb" in replica.id for replica in self.list_replicas())
 
         self.plan_stop(stops.StopScope.DOMAIN, "fa")
         self.run_until(is_over, 200.0)
@@ -553,7 +569,7 @@
 
 
 class RandomFaults(stateful.RuleBasedStateMachine):
-    """Any faults in any order; the promises hold after every step."""
+    """Injects faults in any order; the invariants hold after every step."""
 
     engines = st.sampled_from(
         [f"{name}-{number}" for name in ("fa", "fb") for number in (1, 2, 3)]
@@ -645,7 +661,7 @@
 
 
 class UncheckedFaults(RandomFaults):
-    """The same with engines that ignore the fencing number."""
+    """The same faults with engines that ignore the fencing number."""
 
     checks_epoch = False
 
