--- a/currantwall/coordination/replicas/evidence.py
+++ b/currantwall/coordination/replicas/evidence.py
@@ -122,8 +122,8 @@
         """Return whether evidence proves that a replica is broken.
 
         A broken verdict counts until its observer sends another one or
-        sends none for two evidence TTLs. A silent verdict is no proof:
-        the other observer may have reached every member.
+        sends none for two evidence TTLs. A silent verdict is no proof: a
+        newer probe of every member by the other observer outweighs it.
         """
         if evidence.verdict is not wire.Verdict.BROKEN:
             return False
