--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -184,7 +184,7 @@
     Mutant(
         "leases read by nodes that may not hold them",
         f"{_COORDINATION}/replicas/leases.py",
-        "    return place < _CANDIDATES\n",
+        "    return rank < _CANDIDATES\n",
         "    return True\n",
         "tests.test_large_fleet.QuietTest"
         ".test_only_who_may_hold_a_lease_reads_it",
@@ -337,26 +337,26 @@
     Mutant(
         "broken verdict ignored",
         f"{_COORDINATION}/replicas/evidence.py",
-        "            elif self._condemns(opinion, now):\n"
+        "            elif self._proves_broken(evidence, now):\n"
         "                return False\n",
         "",
-        f"{_REPLICAS}.LossTest.test_one_proof_outweighs_the_others_older_look",
+        f"{_REPLICAS}.LossTest.test_proof_of_one_observer_outweighs_an_older_probe",
     ),
     Mutant(
         "evidence never grows old",
         f"{_COORDINATION}/replicas/evidence.py",
-        "        if not whole or now - whole > self._ttl:\n",
-        "        if not whole:\n",
+        "        if not whole_at or now - whole_at > self._ttl:\n",
+        "        if not whole_at:\n",
         f"{_REPLICAS}.LossTest.test_cut_observers_end_requests"
         "_within_two_seconds",
     ),
     Mutant(
         "silence counts as proof",
         f"{_COORDINATION}/replicas/evidence.py",
-        "        if opinion.verdict is not wire.Verdict.BROKEN:\n"
+        "        if evidence.verdict is not wire.Verdict.BROKEN:\n"
         "            return False\n",
         "",
-        f"{_REPLICAS}.LossTest.test_one_cut_observer_condemns_nothing",
+        f"{_REPLICAS}.LossTest.test_one_cut_observer_does_not_end_service",
     ),
     Mutant(
         "own lapsed lease is left alone",
@@ -370,8 +370,8 @@
     Mutant(
         "no margin on the lease",
         f"{_COORDINATION}/replicas/leases.py",
-        "            until = sent + ttl - self._margin\n",
-        "            until = now + ttl\n",
+        "            deadline = sent_at + ttl - self._margin\n",
+        "            deadline = now + ttl\n",
         f"{_REPLICAS}.LeaseTest.test_order_is_not_sent_after_the_deadline",
     ),
     Mutant(
@@ -379,7 +379,7 @@
         f"{_COORDINATION}/replicas/leases.py",
         "            self._first_seen = now\n",
         "            self._first_seen = self._first_seen or now\n",
-        f"{_REPLICAS}.LeaseTest.test_taker_counts_the_whole_ttl_itself",
+        f"{_REPLICAS}.LeaseTest.test_candidate_measures_the_whole_ttl_itself",
     ),
     Mutant(
         "grant not asked for",
@@ -387,7 +387,7 @@
         "    if held + accelerators > share.granted:\n        return None\n",
         "",
         f"{_REPLICAS}.CapacityTest"
-        ".test_larger_replicas_do_not_pass_the_capacity",
+        ".test_larger_replicas_do_not_exceed_the_capacity",
     ),
     Mutant(
         "grant lowered below what is held",
@@ -420,9 +420,9 @@
     Mutant(
         "draining ends at once",
         f"{_COORDINATION}/replicas/controller.py",
-        "            if heard is None or report is None"
+        "            if probed_at is None or report is None"
         " or not report.is_quiet:\n",
-        "            if heard is None or report is None:\n",
+        "            if probed_at is None or report is None:\n",
         f"{_REPLICAS}.StopTest.test_stop_waits_for_the_request_in_flight",
     ),
     Mutant(
@@ -450,8 +450,8 @@
     Mutant(
         "spares are given to the first",
         f"{_COORDINATION}/replicas/repair.py",
-        "            if held is None or total < held.cost:\n",
-        "            if held is None:\n",
+        "            if known is None or total < known.cost:\n",
+        "            if known is None:\n",
         "tests.test_repair.RepairTest.test_never_dearer_than_brute_force",
     ),
 )
