--- a/currantwall/coordination/replicas/formation.py
+++ b/currantwall/coordination/replicas/formation.py
@@ -499,7 +499,7 @@
         seat = record.upstream.seat
         if seat is None:
             return False
-        parsed = upstreams.parse_name(seat.replica)
+        parsed = upstreams.parse_replica_id(seat.replica)
         return parsed is not None and parsed[0] == model
 
     def _plan_joins(
@@ -508,7 +508,7 @@
         """Return the joins that form a replica under a new epoch."""
         self._epoch += 1
         token = f"{self._name}-{self._epoch}"
-        name = upstreams.name_replica(model.name, len(members), token)
+        name = upstreams.make_replica_id(model.name, len(members), token)
         member_ids = tuple(member.id for member in members)
         return [
             knowledge.Order(
--- a/currantwall/coordination/requests/backlog.py
+++ b/currantwall/coordination/requests/backlog.py
@@ -55,7 +55,7 @@
         start_deadline: Monotonic time by which it must start; otherwise its
             caller gives up before the first event.
         rank: Rank among requests that can be in time; 0 goes first.
-        excluded: Replicas that it has tried, by `Upstream.life`.
+        excluded: Replicas that it has tried, by `Upstream.epoch_id`.
     """
 
     request: str
--- a/currantwall/coordination/requests/balancing.py
+++ b/currantwall/coordination/requests/balancing.py
@@ -160,7 +160,7 @@
             service: Service of the route.
             model: Model of the replica; None for plain services.
             excluded: Upstreams that this request has tried, by
-                `Upstream.life`: a repaired replica may be tried again.
+                `Upstream.epoch_id`: a repaired replica may be tried again.
             salt: Text that is hashed to sample upstreams and to break ties,
                 so that nodes choose differently.
             now: Monotonic time.
@@ -175,7 +175,7 @@
         untried = [
             upstream
             for upstream in candidates
-            if upstream.life not in excluded
+            if upstream.epoch_id not in excluded
         ]
         usable = [
             upstream
@@ -462,7 +462,7 @@
         upstream = self._fleet.get(instance)
         if upstream is None or upstream.seat is None:
             return
-        parsed = upstreams.parse_name(upstream.seat.replica)
+        parsed = upstreams.parse_replica_id(upstream.seat.replica)
         if parsed is None or upstream.seat.epoch > epoch:
             return
         candidates = self._list_candidates(upstream.service, parsed[0])
--- a/currantwall/state/upstreams.py
+++ b/currantwall/state/upstreams.py
@@ -1,8 +1,8 @@
 """Upstream instances as they register, and the replicas they form.
 
-An engine instance says itself to which replica it belongs. Every node
-can therefore work out the whole replicas from the list alone; nothing
-about them has to be handed on when the node that formed them is gone.
+Each engine instance reports the replica it belongs to. Every node can
+therefore derive the complete replicas from the list alone, and no state
+has to be handed over when the node that formed them is gone.
 """
 
 from collections import abc
@@ -21,15 +21,15 @@
     "Seat",
     "Upstream",
     "list_replicas",
-    "name_life",
-    "name_replica",
-    "parse_life",
-    "parse_name",
+    "make_epoch_id",
+    "make_replica_id",
+    "parse_epoch_id",
+    "parse_replica_id",
 ]
 
 
 class Phase(enum.Enum):
-    """Where an instance stands in the life of its replica."""
+    """Phase of an instance within its replica."""
 
     JOINING = "joining"
     READY = "ready"
@@ -39,7 +39,7 @@
 
 
 class Seat(msgspec.Struct, frozen=True):
-    """An instance's place in a replica; the leader has rank 0."""
+    """Position of an instance in a replica; the leader has rank 0."""
 
     replica: ids.ReplicaId
     epoch: int
@@ -51,16 +51,16 @@
     """One instance that answers requests.
 
     Attributes:
-        slots: Requests it works on at once.
+        slots: Requests that it processes at once.
         leaving: Whether it is being drained.
-        born: Start of this life, in Unix milliseconds.
-        sequence: Orders accepted in this life; None where only its entry
-            was read, which doesn't tell.
+        born: Start of its process, in Unix milliseconds.
+        sequence: Orders accepted since that start; None where only its
+            entry in the store was read, which lacks the number.
         domain: Fabric domain; empty for plain services.
         staged: Models whose weights are on its host.
-        seat: Its place in a replica, None for none.
+        seat: Its position in a replica; None if it belongs to none.
         busy: Whether it is carrying out an order, such as a load.
-        pace: Factor by which it is slower than usual, as its report says.
+        pace: Reported factor by which it is slower than usual.
     """
 
     id: ids.InstanceId
@@ -78,9 +78,13 @@
     pace: float = 1.0
 
     @property
-    def life(self) -> str:
-        """Return what tells a mended replica's leader from before."""
-        return name_life(self.id, self.seat.epoch if self.seat else 0)
+    def epoch_id(self) -> str:
+        """Return an id that changes with the epoch of its replica.
+
+        It distinguishes the leader of a repaired replica from the same
+        instance before the repair.
+        """
+        return make_epoch_id(self.id, self.seat.epoch if self.seat else 0)
 
 
 class Replica(msgspec.Struct, frozen=True, kw_only=True):
@@ -94,48 +98,48 @@
 
     @property
     def leader(self) -> Upstream | None:
-        """Return the member that takes the requests, if it is there."""
+        """Return the member with rank 0, which takes the requests."""
         first = self.members[0]
         return first if first.seat and first.seat.rank == 0 else None
 
     @property
     def is_whole(self) -> bool:
-        """Return whether every rank is there and none joins or broke."""
-        ranks = [one.seat.rank for one in self.members if one.seat]
+        """Return whether all ranks are present, none joining or broken."""
+        ranks = [member.seat.rank for member in self.members if member.seat]
         if ranks != list(range(self.size)):
             return False
-        bad = (Phase.JOINING, Phase.BROKEN)
-        return all(one.seat.phase not in bad for one in self.members)  # type: ignore[union-attr]
+        unfit = (Phase.JOINING, Phase.BROKEN)
+        return all(one.seat.phase not in unfit for one in self.members)  # type: ignore[union-attr]
 
     @property
     def is_serving(self) -> bool:
-        """Return whether it may be given requests."""
+        """Return whether requests may be sent to it."""
         leader = self.leader
         if leader is None or leader.seat is None or leader.leaving:
             return False
         return leader.seat.phase is Phase.OPEN and self.is_whole
 
 
-def name_replica(model: str, size: int, token: str) -> ids.ReplicaId:
-    """Return a replica id that tells model and size to every node."""
+def make_replica_id(model: str, size: int, token: str) -> ids.ReplicaId:
+    """Return a replica id from which any node can read model and size."""
     return ids.ReplicaId(f"{model}.{size}.{token}")
 
 
-def name_life(instance: ids.InstanceId, epoch: int) -> str:
-    """Return what tells a leader of one replica from that of the next."""
+def make_epoch_id(instance: ids.InstanceId, epoch: int) -> str:
+    """Return the id of an instance in one epoch of its replica."""
     return f"{instance}@{epoch}"
 
 
-def parse_life(life: str) -> tuple[ids.InstanceId, int] | None:
-    """Return instance and epoch of a life, None for a foreign text."""
-    instance, mark, epoch = life.rpartition("@")
+def parse_epoch_id(text: str) -> tuple[ids.InstanceId, int] | None:
+    """Return instance and epoch of an epoch id, None for any other text."""
+    instance, mark, epoch = text.rpartition("@")
     if not mark or not epoch.isdecimal():
         return None
     return ids.InstanceId(instance), int(epoch)
 
 
-def parse_name(name: str) -> tuple[str, int] | None:
-    """Return model and size of a replica id, None for a foreign one."""
+def parse_replica_id(name: str) -> tuple[str, int] | None:
+    """Return model and size of a replica id; None for other names."""
     parts = name.rsplit(".", 2)
     if len(parts) != 3 or not parts[1].isdecimal():
         return None
@@ -143,19 +147,19 @@
 
 
 def list_replicas(upstreams: abc.Iterable[Upstream]) -> list[Replica]:
-    """Return the replicas that some instances report."""
-    seats: dict[tuple[str, int], list[Upstream]] = {}
-    for one in upstreams:
-        if one.seat is not None:
-            key = (one.seat.replica, one.seat.epoch)
-            seats.setdefault(key, []).append(one)
-    found = []
-    for (name, epoch), members in seats.items():
-        parsed = parse_name(name)
+    """Return the replicas that the instances report."""
+    by_replica: dict[tuple[str, int], list[Upstream]] = {}
+    for upstream in upstreams:
+        if upstream.seat is not None:
+            key = (upstream.seat.replica, upstream.seat.epoch)
+            by_replica.setdefault(key, []).append(upstream)
+    replicas = []
+    for (name, epoch), members in by_replica.items():
+        parsed = parse_replica_id(name)
         if parsed is None:
             continue
         members.sort(key=lambda one: one.seat.rank if one.seat else 0)
-        found.append(
+        replicas.append(
             Replica(
                 id=ids.ReplicaId(name),
                 epoch=epoch,
@@ -164,40 +168,43 @@
                 members=tuple(members),
             )
         )
-    return found
+    return replicas
 
 
-_SeatKey = tuple[ids.ServiceName, ids.ReplicaId, int]
+_ReplicaKey = tuple[ids.ServiceName, ids.ReplicaId, int]
 _Key = typing.TypeVar("_Key", bound=abc.Hashable)
 _Index = dict[_Key, dict[ids.InstanceId, Upstream]]
 
 
-def _find_seat(one: Upstream) -> _SeatKey | None:
-    """Return what the members of one replica have in common."""
-    if one.seat is None:
+def _get_replica_key(upstream: Upstream) -> _ReplicaKey | None:
+    """Return the key that all members of a replica share."""
+    if upstream.seat is None:
         return None
-    return one.service, one.seat.replica, one.seat.epoch
+    return upstream.service, upstream.seat.replica, upstream.seat.epoch
 
 
-def _drop(index: _Index[_Key], key: _Key, name: ids.InstanceId) -> None:
-    """Take an instance out of an index."""
-    held = index[key]
-    del held[name]
-    if not held:
+def _remove_from_index(
+    index: _Index[_Key], key: _Key, instance: ids.InstanceId
+) -> None:
+    """Remove an instance from an index, and its key if none is left."""
+    indexed = index[key]
+    del indexed[instance]
+    if not indexed:
         del index[key]
 
 
 def _differs(held: Upstream | None, listed: Upstream) -> bool:
-    # Most are the same object: an entry that stayed is not decoded anew.
+    # An unchanged entry is not decoded again, so that most are the same
+    # object and need no comparison by value.
     return held is not listed and held != listed
 
 
 class Change(msgspec.Struct, frozen=True):
-    """What a list of instances changed.
+    """Difference that a list of instances made.
 
     Attributes:
-        old: Instances that are gone or differ, as they were.
-        new: Instances that are new or differ, as they are.
+        old: Removed and changed instances, as they were before.
+        new: Added and changed instances, as they are now.
     """
 
     old: tuple[Upstream, ...]
@@ -207,36 +214,36 @@
 class Fleet:
     """The registered instances as one node knows them.
 
-    A new list costs what it changes: of many instances a few differ from
-    one read to the next.
+    Few instances differ from one read to the next, so a new list is
+    applied in time proportional to its changes.
 
     Attributes:
-        revision: Revision of the list it was read from.
+        revision: Revision of the last list.
         updated: Monotonic time of the last read.
-        generation: Rises with each change of any instance.
-        changed: What the last list changed.
-        has_kept: Whether instances may be held that the list lacks.
+        generation: Counts the changes of the held instances.
+        last_change: Difference that the last list made.
+        has_unlisted: Whether it may hold instances that the list lacks.
     """
 
     def __init__(self) -> None:
         self.revision = 0
         self.updated = 0.0
         self.generation = 0
-        self.changed = Change((), ())
-        self.has_kept = False
+        self.last_change = Change((), ())
+        self.has_unlisted = False
         self._upstreams: dict[ids.InstanceId, Upstream] = {}
         self._by_service: _Index[ids.ServiceName] = {}
         self._by_domain: _Index[tuple[ids.ServiceName, ids.DomainName]] = {}
-        self._by_seat: _Index[_SeatKey] = {}
-        self._replicas: dict[ids.ServiceName, dict[_SeatKey, Replica]] = {}
-        # Whole replicas that take requests, by service and model.
+        self._by_replica: _Index[_ReplicaKey] = {}
+        self._replicas: dict[ids.ServiceName, dict[_ReplicaKey, Replica]] = {}
+        # Replicas that serve requests, by service and model.
         self._serving: dict[
-            tuple[ids.ServiceName, str], dict[_SeatKey, Replica]
+            tuple[ids.ServiceName, str], dict[_ReplicaKey, Replica]
         ] = {}
 
     @property
     def is_known(self) -> bool:
-        """Return whether a list was ever read."""
+        """Return whether a list has been read."""
         return self.revision > 0
 
     def replace(
@@ -246,30 +253,32 @@
         now: float,
         keep_missing: bool = False,
     ) -> bool:
-        """Take over a list unless a newer one is held already.
+        """Replace the held list unless it is newer.
 
         Args:
             upstreams: The instances listed.
             revision: Revision of the list.
-            now: Monotonic time at which it was asked for.
-            keep_missing: Whether instances that the list lacks stay: their
-                entries may have lapsed while the store was away.
+            now: Monotonic time at which it was requested.
+            keep_missing: Whether to keep instances that the list lacks:
+                their entries may have expired during an outage of the
+                store.
 
-        Failure: a read that may be stale answers from before a change
-        that this node has acted upon, such as a drain; taking it would
-        send requests to an instance that has left.
+        Returns:
+            False if the held list is newer. A stale read may predate a
+            change that this node has acted upon, such as a drain;
+            applying it would send requests to an instance that has left.
         """
         if revision < self.revision:
             return False
         self.updated = now
-        if revision == self.revision and not self.has_kept:
-            self.changed = Change((), ())
+        if revision == self.revision and not self.has_unlisted:
+            self.last_change = Change((), ())
             return True
-        self.has_kept = keep_missing
+        self.has_unlisted = keep_missing
         self.revision = revision
-        listed = {one.id: one for one in upstreams}
+        listed = {upstream.id: upstream for upstream in upstreams}
         gone = () if keep_missing else self._upstreams.keys() - listed.keys()
-        self._change(listed.values(), gone)
+        self._apply_change(listed.values(), gone)
         return True
 
     def update(
@@ -279,75 +288,75 @@
         revision: int,
         now: float,
     ) -> bool:
-        """Take over what differs from the list that is held.
+        """Apply changes to the held list.
 
         Args:
-            upstreams: Instances that are new or differ.
-            gone: Instances that are no longer listed.
+            upstreams: Added and changed instances.
+            gone: Removed instances.
             revision: Revision of the list with these changes.
-            now: Monotonic time at which it was asked for.
+            now: Monotonic time at which they were requested.
 
         Returns:
-            False where a newer list is held already.
+            False if the held list is newer.
         """
         if revision < self.revision:
             return False
         self.updated = now
         self.revision = revision
-        self._change(upstreams, gone)
+        self._apply_change(upstreams, gone)
         return True
 
-    def _change(
+    def _apply_change(
         self,
         upstreams: abc.Iterable[Upstream],
         gone: abc.Iterable[ids.InstanceId],
     ) -> None:
-        """Take over the instances, looking only at those that differ."""
+        """Apply the instances that differ and update the indexes."""
         held = self._upstreams
         new = [one for one in upstreams if _differs(held.get(one.id), one)]
         old = [held[name] for name in gone if name in held]
         old += [held[one.id] for one in new if one.id in held]
-        self.changed = Change(tuple(old), tuple(new))
+        self.last_change = Change(tuple(old), tuple(new))
         if not old and not new:
             return
         self.generation += 1
-        for one in old:
-            self._remove(one)
-        for one in new:
-            self._add(one)
-        for key in dict.fromkeys(map(_find_seat, (*old, *new))):
+        for upstream in old:
+            self._remove(upstream)
+        for upstream in new:
+            self._add(upstream)
+        for key in dict.fromkeys(map(_get_replica_key, (*old, *new))):
             if key is not None:
-                self._form(key)
-
-    def _add(self, one: Upstream) -> None:
-        self._upstreams[one.id] = one
-        self._by_service.setdefault(one.service, {})[one.id] = one
-        place = (one.service, one.domain)
-        self._by_domain.setdefault(place, {})[one.id] = one
-        seat = _find_seat(one)
-        if seat is not None:
-            self._by_seat.setdefault(seat, {})[one.id] = one
-
-    def _remove(self, one: Upstream) -> None:
-        del self._upstreams[one.id]
-        _drop(self._by_service, one.service, one.id)
-        _drop(self._by_domain, (one.service, one.domain), one.id)
-        seat = _find_seat(one)
-        if seat is not None:
-            _drop(self._by_seat, seat, one.id)
-
-    def _form(self, key: _SeatKey) -> None:
-        """Work out one replica anew."""
+                self._rebuild_replica(key)
+
+    def _add(self, new: Upstream) -> None:
+        self._upstreams[new.id] = new
+        self._by_service.setdefault(new.service, {})[new.id] = new
+        domain_key = (new.service, new.domain)
+        self._by_domain.setdefault(domain_key, {})[new.id] = new
+        replica_key = _get_replica_key(new)
+        if replica_key is not None:
+            self._by_replica.setdefault(replica_key, {})[new.id] = new
+
+    def _remove(self, old: Upstream) -> None:
+        del self._upstreams[old.id]
+        _remove_from_index(self._by_service, old.service, old.id)
+        _remove_from_index(self._by_domain, (old.service, old.domain), old.id)
+        replica_key = _get_replica_key(old)
+        if replica_key is not None:
+            _remove_from_index(self._by_replica, replica_key, old.id)
+
+    def _rebuild_replica(self, key: _ReplicaKey) -> None:
+        """Derive one replica again from its members."""
         service = key[0]
         replicas = self._replicas.setdefault(service, {})
         before = replicas.pop(key, None)
         if before is not None:
             self._serving.get((service, before.model), {}).pop(key, None)
-        for replica in list_replicas(self._by_seat.get(key, {}).values()):
+        for replica in list_replicas(self._by_replica.get(key, {}).values()):
             replicas[key] = replica
             if replica.is_serving:
-                held = self._serving.setdefault((service, replica.model), {})
-                held[key] = replica
+                index = self._serving.setdefault((service, replica.model), {})
+                index[key] = replica
 
     def get(self, instance: ids.InstanceId) -> Upstream | None:
         """Return an instance by its id."""
@@ -370,9 +379,9 @@
     def list_serving(
         self, service: ids.ServiceName, model: str
     ) -> list[Replica]:
-        """Return the whole replicas of a model that take requests."""
+        """Return the replicas of a model that serve requests."""
         return list(self._serving.get((service, model), {}).values())
 
     def list_replicas(self, service: ids.ServiceName) -> list[Replica]:
-        """Return all replicas of a service, whole or not."""
+        """Return all replicas of a service, incomplete ones included."""
         return list(self._replicas.get(service, {}).values())
--- a/currantwall/transport/duties.py
+++ b/currantwall/transport/duties.py
@@ -113,9 +113,9 @@
         self._largest = 0
         self._grown_at = self._clock.now()
         self._stopping = False
-        # Told of a leader whose replica has lost a member, by its life.
+        # Told of a leader whose replica has lost a member, by its epoch id.
         self.on_loss: abc.Callable[[str], None] = _ignore
-        # Told of a leader whose replica a member slows down, by its life.
+        # Told of a leader whose replica a member slows down, by its epoch id.
         self.on_slow: abc.Callable[[str], None] = _ignore
         self.services: abc.Callable[[], abc.Iterable[routes.Service]] = tuple
 
@@ -407,13 +407,13 @@
         one.slow.add(found.id)
         leader = self._find_leader(one, found.id)
         if leader is not None:
-            self.on_slow(leader.life)
+            self.on_slow(leader.epoch_id)
 
     def _tell_loss(self, one: _Domain, lost: upstreams.Upstream) -> None:
         """Tell the leader of a replica that has lost a member."""
         leader = self._find_leader(one, lost.id)
         if leader is not None:
-            self.on_loss(leader.life)
+            self.on_loss(leader.epoch_id)
 
     @staticmethod
     def _find_leader(
--- a/currantwall/transport/fleets.py
+++ b/currantwall/transport/fleets.py
@@ -149,7 +149,7 @@
 
     def _drop_kept(self, now: float) -> None:
         """Drop what had lapsed and has not come back in time."""
-        if self._fleet.has_kept and not self._keeps_missing(now):
+        if self._fleet.has_unlisted and not self._keeps_missing(now):
             held = ports.Listing(self._changes.objects, self._fleet.revision)
             self._take(held, now)
 
@@ -225,7 +225,7 @@
         """Take over a peer's list, or what has changed in it."""
         if not found.since:
             self._take(found, now)
-        elif self._fleet.has_kept or self._keeps_missing(now):
+        elif self._fleet.has_unlisted or self._keeps_missing(now):
             objects = self._changes.apply(found.objects, found.removed)
             self._take(ports.Listing(objects, found.revision), now)
         else:
@@ -274,7 +274,7 @@
 
     def _log_changes(self, revision: int) -> None:
         """Log who came, began to drain or went with the last list."""
-        change = self._fleet.changed
+        change = self._fleet.last_change
         before = {one.id: one.leaving for one in change.old}
         after = {one.id: one.leaving for one in change.new}
         if before == after:
--- a/currantwall/transport/news.py
+++ b/currantwall/transport/news.py
@@ -66,7 +66,7 @@
         self.send = self._heartbeats.send
         # Whether this node takes requests.
         self.is_ready: abc.Callable[[], bool] = _say_no
-        # Ends the attempts at a leader, by its life, that has lost a
+        # Ends the attempts at a leader, by its epoch id, that has lost a
         # member.
         self.give_up: abc.Callable[[str], None] = _ignore
         # What the next heartbeats tell, and until when.
@@ -145,10 +145,10 @@
         self._fleets.note_news(told.instances)
         self._leases.note_leases(told.leases, now)
         self._suspect(told.stalled)
-        for life in told.lost:
-            self._take_loss(life, now)
-        for life in told.slow:
-            self._take_slow(life, now)
+        for epoch_id in told.lost:
+            self._take_loss(epoch_id, now)
+        for epoch_id in told.slow:
+            self._take_slow(epoch_id, now)
 
     def _suspect(self, stalled: abc.Iterable[str]) -> None:
         for name in stalled:
@@ -188,31 +188,31 @@
         if self._presence.reads_store(self._now()):
             self._heartbeats.hurry()
 
-    def tell_loss(self, life: str) -> None:
+    def tell_loss(self, epoch_id: str) -> None:
         """Spread the verdict that a leader's replica is not whole."""
         now = self._now()
-        self._lost[life] = now + _TOLD
-        self._take_loss(life, now)
+        self._lost[epoch_id] = now + _TOLD
+        self._take_loss(epoch_id, now)
         self._heartbeats.hurry()
 
-    def tell_slow(self, life: str) -> None:
+    def tell_slow(self, epoch_id: str) -> None:
         """Spread that a member slows down a leader's replica."""
         now = self._now()
-        if life not in self._slow:
+        if epoch_id not in self._slow:
             self._heartbeats.hurry()
-        self._slow[life] = now + _SLOW_TOLD
-        self._take_slow(life, now)
+        self._slow[epoch_id] = now + _SLOW_TOLD
+        self._take_slow(epoch_id, now)
 
-    def _take_slow(self, life: str, now: float) -> None:
-        parsed = upstreams.parse_life(life)
+    def _take_slow(self, epoch_id: str, now: float) -> None:
+        parsed = upstreams.parse_epoch_id(epoch_id)
         if parsed is not None:
             self._balancer.note_slow(*parsed, now)
 
-    def _take_loss(self, life: str, now: float) -> None:
-        parsed = upstreams.parse_life(life)
+    def _take_loss(self, epoch_id: str, now: float) -> None:
+        parsed = upstreams.parse_epoch_id(epoch_id)
         if parsed is not None:
             self._balancer.note_loss(*parsed, now)
-            self.give_up(life)
+            self.give_up(epoch_id)
 
 
 def _say_no() -> bool:
--- a/currantwall/transport/requests.py
+++ b/currantwall/transport/requests.py
@@ -66,7 +66,7 @@
         limit: Monotonic time of its final answer.
         budget: Seconds that the caller said it would wait.
         inbox: What its attempts and the caller's leaving tell.
-        tried: Upstreams that it was sent to, by `Upstream.life`.
+        tried: Upstreams that it was sent to, by `Upstream.epoch_id`.
         first: Seconds until its caller got the first event; None before.
         pause: Longest time between two events, in seconds.
         told: Monotonic time of the last event.
--- a/currantwall/transport/sending.py
+++ b/currantwall/transport/sending.py
@@ -89,7 +89,7 @@
         self._numbers = itertools.count(1)
         # When each upstream last sent anything to this node.
         self._pulse: dict[ids.InstanceId, float] = {}
-        # Attempts under way at each upstream, by its life, with who waits
+        # Attempts under way at each upstream, by its epoch id, with who waits
         # for them.
         self._active: dict[str, dict[int, eventlet.queue.LightQueue]] = {}
 
@@ -153,7 +153,7 @@
         now: float,
     ) -> requests.Try:
         request.progress.sends += 1
-        request.tried.add(upstream.life)
+        request.tried.add(upstream.epoch_id)
         inbound = request.inbound
         outbound = exchanges.Outbound(
             method=inbound.method,
@@ -173,7 +173,7 @@
             self._connections,
             self.names,
         )
-        active = self._active.setdefault(upstream.life, {})
+        active = self._active.setdefault(upstream.epoch_id, {})
         active[exchange.number] = request.inbox
         return requests.Try(
             upstream=upstream, exchange=exchange, sent=now, heard=now
@@ -193,13 +193,13 @@
         """Note an attempt that ended in order."""
         self._balancer.note_success(current.upstream.id)
 
-    def give_up(self, life: str) -> None:
+    def give_up(self, epoch_id: str) -> None:
         """End all attempts at a leader whose replica has lost a member.
 
         Failure: such a leader stalls for seconds without a word; what
         waits there goes on elsewhere as soon as the loss is known.
         """
-        for number, inbox in self._active.get(life, {}).items():
+        for number, inbox in self._active.get(epoch_id, {}).items():
             failed = exchanges.Failed(number, True, "verdict", "member lost")
             if not inbox.full():
                 inbox.put(failed)
@@ -258,11 +258,11 @@
         if not current.noted:
             current.noted = True
             self._balancer.end(current.upstream.id)
-            life = current.upstream.life
-            active = self._active.get(life, {})
+            epoch_id = current.upstream.epoch_id
+            active = self._active.get(epoch_id, {})
             active.pop(current.exchange.number, None)
             if not active:
-                self._active.pop(life, None)
+                self._active.pop(epoch_id, None)
             self._queue.note_end(current.upstream)
 
     def fail(
--- a/standins/surge.py
+++ b/standins/surge.py
@@ -76,7 +76,7 @@
 
 def make_leader(number: int, slots: int = 13) -> upstreams.Upstream:
     """Return the leader of an open replica."""
-    name = upstreams.name_replica("m", 1, f"r{number}")
+    name = upstreams.make_replica_id("m", 1, f"r{number}")
     return upstreams.Upstream(
         id=ids.InstanceId(f"i{number}"),
         service=SERVICE,
--- a/tests/test_balancing.py
+++ b/tests/test_balancing.py
@@ -22,7 +22,7 @@
 
 
 def make_replica(number, slots):
-    name = upstreams.name_replica("m", 1, f"r{number}")
+    name = upstreams.make_replica_id("m", 1, f"r{number}")
     return upstreams.Upstream(
         id=ids.InstanceId(f"i{number}"),
         service=_SERVICE,
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -370,13 +370,13 @@
         self.world = self.make("n1", "n2", "n3")
         self.told = []
         seat = upstreams.Seat(
-            upstreams.name_replica("m", 1, "r"), 1, 0, upstreams.Phase.OPEN
+            upstreams.make_replica_id("m", 1, "r"), 1, 0, upstreams.Phase.OPEN
         )
         for node in self.world.nodes.values():
             node.seat = seat
             node.engines.sequence = 3
-            node.duties.on_loss = lambda life, node=node: self.told.append(
-                (node.name, life)
+            node.duties.on_loss = lambda epoch_id, node=node: self.told.append(
+                (node.name, epoch_id)
             )
         self.world.run(5.0)
 
@@ -447,7 +447,7 @@
         self.world.run(0.5)
         self.slow = []
         for node in self.world.nodes.values():
-            node.duties.on_slow = lambda life, node=node: self.slow.append(
+            node.duties.on_slow = lambda epoch_id, node=node: self.slow.append(
                 (self.world.now(), node.name)
             )
 
--- a/tests/test_formation.py
+++ b/tests/test_formation.py
@@ -122,7 +122,7 @@
         changes_replica = old is not None and old.replica != order.replica
         if changes_replica and self.is_leader_serving(old.replica, old.epoch):
             self.violations.append(f"{engine.id} in two replicas")
-        model = upstreams.parse_name(order.replica)[0]
+        model = upstreams.parse_replica_id(order.replica)[0]
         wait = self.engine.find(model).load
         if engine.joined_model == model:
             wait = WARM_JOIN
@@ -158,7 +158,7 @@
                 self.violations.append(
                     f"{order.replica} opened without {name}"
                 )
-        model, _ = upstreams.parse_name(order.replica)
+        model, _ = upstreams.parse_replica_id(order.replica)
         if len(engine.members) != self.engine.find(model).size:
             self.violations.append(f"{order.replica} opened too small")
         engine.seat = msgspec.structs.replace(engine.seat, phase=Phase.OPEN)
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -32,7 +32,7 @@
 
 
 def make_replica(name, size=2, epoch=1, phase=Phase.OPEN):
-    replica = upstreams.name_replica("m", size, name)
+    replica = upstreams.make_replica_id("m", size, name)
     return [
         make_upstream(
             f"{name}{rank}",
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -34,7 +34,7 @@
     """Return a member of a replica of four; none where that is None."""
     seat = None
     if replica is not None:
-        name = upstreams.name_replica(_MODEL, 4, f"r{replica}")
+        name = upstreams.make_replica_id(_MODEL, 4, f"r{replica}")
         seat = upstreams.Seat(name, 1, rank, phase)
     return upstreams.Upstream(
         id=ids.InstanceId(f"i{number}"),
