--- a/currantwall/coordination/profiles/granting.py
+++ b/currantwall/coordination/profiles/granting.py
@@ -287,7 +287,7 @@
         call = self._numbers.next()
         self._calls[call] = wanted.name
         value = objects.encode(planned)
-        expected = self._view.expect(key)
+        expected = self._view.get_expected_version(key)
         return [actions.WriteObject(call, key, value, expected)]
 
     @part.handles(messages.PlatformAnswer)
--- a/currantwall/coordination/profiles/shares.py
+++ b/currantwall/coordination/profiles/shares.py
@@ -140,7 +140,7 @@
         self._profile = name
         self._written = objects.encode(value)
         self._unsettled.add(name)
-        version = self._view.expect(key)
+        version = self._view.get_expected_version(key)
         return [actions.WriteObject(self._call, key, self._written, version)]
 
     def handle_answer(
--- a/currantwall/state/views.py
+++ b/currantwall/state/views.py
@@ -1,8 +1,8 @@
-"""Read-only views that one part keeps and others consult.
+"""State that one part of a node writes and all others read.
 
-The part named in each class is the only writer. All parts of a process
-run in one thread, one message at a time, so a reader always sees a whole
-step.
+The part named in each class is its only writer. All parts of a process
+run in one thread, one message at a time, so a reader never sees a
+half-applied change.
 """
 
 from collections import abc
@@ -19,22 +19,22 @@
 from currantwall.state import rendezvous
 from currantwall.state import stops
 
-__all__ = ["BUCKETS", "MembersView", "ObjectsView", "find_bucket"]
+__all__ = ["BUCKET_COUNT", "MembersView", "ObjectsView", "find_bucket"]
 
-# Buckets that the digests of objects and of nodes are split into.
-BUCKETS = 16
+# Number of buckets that the digests of objects and of nodes are split into.
+BUCKET_COUNT = 16
 
 
 class MembersView:
-    """Entry nodes as this one sees them; written by the membership."""
+    """Entry nodes as this one sees them; written by `Membership`."""
 
     def __init__(self, me: members.Member) -> None:
         self.me = me
         self.unreachable: frozenset[ids.DatacentreName] = frozenset()
         self._members: dict[ids.NodeId, members.Member] = {me.id: me}
-        self._digests = [0] * BUCKETS
-        self._toggle(me)
-        # Raised by each change; lets others keep what they worked out.
+        self._digests = [0] * BUCKET_COUNT
+        self._toggle_in_digest(me)
+        # Incremented by each change, so that readers can cache results.
         self.revision = 0
         self._usable: dict[
             ids.DatacentreName | None, list[members.Member]
@@ -42,24 +42,24 @@
         self._usable_revision = -1
 
     def get(self, node: ids.NodeId) -> members.Member | None:
-        """Return what is known of a node."""
+        """Return a node as last seen, None if it is unknown."""
         return self._members.get(node)
 
     def put(self, member: members.Member) -> None:
-        """Store what is known of a node."""
+        """Add or replace a node."""
         self.revision += 1
         self.drop(member.id)
         self._members[member.id] = member
-        self._toggle(member)
+        self._toggle_in_digest(member)
         if member.id == self.me.id:
             self.me = member
 
     def drop(self, node: ids.NodeId) -> None:
-        """Forget a node."""
+        """Remove a node."""
         held = self._members.pop(node, None)
         if held is not None:
             self.revision += 1
-            self._toggle(held)
+            self._toggle_in_digest(held)
 
     def all(self) -> list[members.Member]:
         """Return every known node, dead ones included."""
@@ -68,7 +68,7 @@
     def present(
         self, datacentre: ids.DatacentreName | None = None
     ) -> list[members.Member]:
-        """Return the nodes that still take messages."""
+        """Return the nodes that still accept messages."""
         return [
             member
             for member in self._members.values()
@@ -78,15 +78,15 @@
     def usable(
         self, datacentre: ids.DatacentreName | None = None
     ) -> list[members.Member]:
-        """Return the reachable nodes that may be given work."""
+        """Return the reachable nodes to which work may be assigned."""
         if self._usable_revision != self.revision:
             self._usable_revision = self.revision
             self._usable.clear()
-        found = self._usable.get(datacentre)
-        if found is None:
-            found = self._list_usable(datacentre)
-            self._usable[datacentre] = found
-        return found
+        usable = self._usable.get(datacentre)
+        if usable is None:
+            usable = self._list_usable(datacentre)
+            self._usable[datacentre] = usable
+        return usable
 
     def _list_usable(
         self, datacentre: ids.DatacentreName | None
@@ -99,10 +99,12 @@
             and datacentre in (None, member.datacentre)
         ]
 
-    def mark_unreachable(self, places: frozenset[ids.DatacentreName]) -> None:
-        """Store which data centres cannot be reached."""
+    def mark_unreachable(
+        self, datacentres: frozenset[ids.DatacentreName]
+    ) -> None:
+        """Replace the set of unreachable data centres."""
         self.revision += 1
-        self.unreachable = places
+        self.unreachable = datacentres
 
     def datacentres(self) -> list[ids.DatacentreName]:
         """Return the data centres that have members, sorted."""
@@ -118,7 +120,7 @@
         return rendezvous.rank(duty, names)
 
     def digests(self) -> tuple[int, ...]:
-        """Return a number for each bucket of nodes."""
+        """Return a digest of each bucket of nodes."""
         return tuple(self._digests)
 
     def select(self, buckets: abc.Container[int]) -> list[members.Member]:
@@ -126,19 +128,20 @@
         return [
             member
             for member in self._members.values()
-            if hashing.hash_text(member.id) % BUCKETS in buckets
+            if hashing.hash_text(member.id) % BUCKET_COUNT in buckets
         ]
 
-    def _toggle(self, member: members.Member) -> None:
-        bucket = hashing.hash_text(member.id) % BUCKETS
+    def _toggle_in_digest(self, member: members.Member) -> None:
+        """Add a member to the digest of its bucket, or remove it."""
+        bucket = hashing.hash_text(member.id) % BUCKET_COUNT
         self._digests[bucket] ^= _hash_member(member)
 
 
 class ObjectsView:
-    """Stored objects in force here; written by the configuration.
+    """Stored objects in force on this node; written by `Configuration`.
 
-    Keeps the highest version of each object, of deleted ones too, so
-    that an older version can never return.
+    Keeps the highest version of each object, deleted ones included, so
+    that an older version can never replace it.
     """
 
     def __init__(self) -> None:
@@ -147,30 +150,30 @@
         self._values: dict[str, dict[str, typing.Any]] = {}
         self._by_domain: dict[str, dict[str, instances.Instance]] = {}
         self._by_service: dict[str, dict[str, instances.Instance]] = {}
-        self._digests = [0] * BUCKETS
+        self._digests = [0] * BUCKET_COUNT
 
     def apply(self, stored: objects.Stored) -> bool:
-        """Put a version in force; return whether it was newer."""
+        """Apply a version if it is newer; return whether it was."""
         key = stored.key
         held = self._stored.get(key)
         if held is not None and held.version >= stored.version:
             return False
         value = objects.decode(stored)
         bucket = find_bucket(key)
-        new = objects.hash_material(stored, value)
-        self._digests[bucket] ^= self._hashes.get(key, 0) ^ new
-        self._hashes[key] = new
+        digest = objects.hash_material(stored, value)
+        self._digests[bucket] ^= self._hashes.get(key, 0) ^ digest
+        self._hashes[key] = digest
         self._stored[key] = stored
         values = self._values.setdefault(key.kind, {})
         if key.kind == objects.Kind.INSTANCES.value:
-            self._index(key.name, values.get(key.name), value)
+            self._update_indexes(key.name, values.get(key.name), value)
         if value is None:
             values.pop(key.name, None)
         else:
             values[key.name] = value
         return True
 
-    def _index(
+    def _update_indexes(
         self,
         name: str,
         before: instances.Instance | None,
@@ -184,7 +187,7 @@
             self._by_service.setdefault(after.service, {})[name] = after
 
     def get(self, key: objects.ObjectKey) -> objects.Stored | None:
-        """Return the stored form that is in force."""
+        """Return the stored form in force, None for an unknown object."""
         return self._stored.get(key)
 
     def version(self, key: objects.ObjectKey) -> ids.Version:
@@ -192,27 +195,27 @@
         held = self._stored.get(key)
         return held.version if held else ids.Version(0)
 
-    def expect(self, key: objects.ObjectKey) -> ids.Version:
+    def get_expected_version(self, key: objects.ObjectKey) -> ids.Version:
         """Return the version that a conditional write must expect.
 
-        The platform keeps nothing of a deleted object: it expects 0.
+        It is 0 for a deleted object, of which the platform keeps nothing.
         """
         held = self._stored.get(key)
         return held.version if held and held.value else ids.Version(0)
 
     def all(self) -> list[objects.Stored]:
-        """Return every stored form, deleted ones included."""
+        """Return all objects in stored form, deleted ones included."""
         return list(self._stored.values())
 
     def material(self, key: objects.ObjectKey) -> int:
-        """Return the hash of what matters of an object, 0 for none."""
+        """Return `objects.hash_material` of an object, 0 if unknown."""
         return self._hashes.get(key, 0)
 
     def digests(self) -> tuple[int, ...]:
-        """Return a number for each bucket of keys.
+        """Return a digest of each bucket of keys.
 
-        Two views whose numbers are equal hold the same objects; a
-        difference names the bucket to compare.
+        Two views with equal digests hold the same objects; where digests
+        differ, the objects of that bucket have to be compared.
         """
         return tuple(self._digests)
 
@@ -222,7 +225,7 @@
         """Return the engine instances of a fabric domain."""
         listed = self._by_domain.get(domain_name, {}).values()
         kind = instances.InstanceKind.ENGINE
-        return [one for one in listed if one.kind is kind]
+        return [instance for instance in listed if instance.kind is kind]
 
     def list_services(
         self, service: ids.ServiceName
@@ -235,35 +238,35 @@
     @property
     def profiles(self) -> abc.Mapping[str, profile.Profile]:
         """Return the profiles by name."""
-        return self._of(objects.Kind.PROFILES)
+        return self._get_values(objects.Kind.PROFILES)
 
     @property
     def domains(self) -> abc.Mapping[str, domain.Domain]:
-        """Return the ledgers by fabric domain."""
-        return self._of(objects.Kind.DOMAINS)
+        """Return the domains' ledgers by domain name."""
+        return self._get_values(objects.Kind.DOMAINS)
 
     @property
     def grants(self) -> abc.Mapping[str, grants.Grants]:
         """Return the grants by profile."""
-        return self._of(objects.Kind.GRANTS)
+        return self._get_values(objects.Kind.GRANTS)
 
     @property
     def stops(self) -> abc.Mapping[str, stops.Stop]:
         """Return the planned stops by id."""
-        return self._of(objects.Kind.STOPS)
+        return self._get_values(objects.Kind.STOPS)
 
     @property
     def instances(self) -> abc.Mapping[str, instances.Instance]:
-        """Return the platform's list by instance."""
-        return self._of(objects.Kind.INSTANCES)
+        """Return the instances of the platform's list by id."""
+        return self._get_values(objects.Kind.INSTANCES)
 
-    def _of(self, kind: objects.Kind) -> abc.Mapping[str, typing.Any]:
+    def _get_values(self, kind: objects.Kind) -> abc.Mapping[str, typing.Any]:
         return self._values.get(kind.value, {})
 
 
 def find_bucket(key: objects.ObjectKey) -> int:
-    """Return the bucket of a key, below `BUCKETS`."""
-    return hashing.hash_text(str(key)) % BUCKETS
+    """Return the bucket of a key, below `BUCKET_COUNT`."""
+    return hashing.hash_text(str(key)) % BUCKET_COUNT
 
 
 def _hash_member(member: members.Member) -> int:
--- a/currantwall/transport/operators.py
+++ b/currantwall/transport/operators.py
@@ -145,7 +145,7 @@
         view = self._core.node.view
         held = view.profiles.get(name)
         key = objects.ObjectKey(objects.Kind.PROFILES.value, name)
-        return operators.ProfileView(view.expect(key), held)
+        return operators.ProfileView(view.get_expected_version(key), held)
 
     # -- Stops
 
@@ -160,7 +160,7 @@
             progress = self._core.node.stopping.describe(stop)
             found.append(
                 operators.StopView(
-                    view.expect(key),
+                    view.get_expected_version(key),
                     stop,
                     progress.waiting,
                     progress.finished,
--- a/standins/sites.py
+++ b/standins/sites.py
@@ -149,7 +149,7 @@
 ) -> None:
     """Ask an entry to store a profile; the reply comes to the ticket."""
     key = _key(wanted.name)
-    expected = host.node.view.expect(key)
+    expected = host.node.view.get_expected_version(key)
     value = objects.encode(wanted)
     host.tell(edits.EditRequested(ticket, key, value, expected))
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -360,7 +360,7 @@
         self.host("c4").pause()
         key = objects.ObjectKey(objects.Kind.PROFILES.value, "p")
         host = self.host("a1")
-        expected = host.node.view.expect(key)
+        expected = host.node.view.get_expected_version(key)
         host.tell(edits.EditRequested(500, key, b"", expected))
         self.world.run(self.world.now + 6.0)
         self.host("c4").resume()
