--- a/currantwall/state/domain.py
+++ b/currantwall/state/domain.py
@@ -1,9 +1,10 @@
 """The ledger of one fabric domain.
 
-The object ``domains/<name>`` holds the lease of whoever may change the
-domain and every replica in it. A replica lives inside one domain, so one
-conditional update of one object keeps an instance out of two replicas
-and makes the write of a paused former holder fail by itself.
+The object ``domains/<name>`` holds every replica of the domain and the
+lease of the node that may change them. A replica lies within one domain,
+so a conditional update of this single object keeps an instance from
+joining two replicas, and a late write of a former holder fails because
+the version has changed.
 """
 
 from collections import abc
@@ -17,7 +18,7 @@
 
 
 class ReplicaPhase(enum.Enum):
-    """Life of one replica generation; a dissolved one is removed."""
+    """Phase of one replica generation; a dissolved one is removed."""
 
     FORMING = "forming"
     SERVING = "serving"
@@ -28,7 +29,8 @@
     """Right to change one domain.
 
     Attributes:
-        ttl: Seconds the holder may count from before it sent the write.
+        ttl: Seconds for which the lease holds, counted by the holder from
+            before it sent the write.
     """
 
     holder: ids.NodeId
@@ -47,8 +49,8 @@
     """One replica generation: the instances that serve together.
 
     Attributes:
-        members: Instances by rank; the first takes the requests.
-        accelerators: Accelerators of all members together.
+        members: Instances by rank; the first receives the requests.
+        accelerators: Number of accelerators of all members.
     """
 
     id: ids.ReplicaId
@@ -63,23 +65,23 @@
 
     @property
     def leader(self) -> ids.InstanceId:
-        """Return the member that takes the requests."""
+        """Return the member that receives the requests."""
         return self.members[0]
 
     def enter(self, phase: ReplicaPhase) -> "Replica":
-        """Return the same generation in another phase."""
+        """Return a copy in another phase, of the same generation."""
         return msgspec.structs.replace(self, phase=phase)
 
 
 class Domain(msgspec.Struct, frozen=True, kw_only=True):
-    """What ``domains/<name>`` holds.
+    """Value of ``domains/<name>``.
 
     Attributes:
-        idle: Healthy instances here that belong to no replica and are
-            not kept as spares; tells where a replica can be built.
-        serial: Raised by each change of what other nodes need to know.
-        attempt: The write that stored this value, so that a writer whose
-            answer was lost can recognise its own.
+        idle: Number of healthy instances that belong to no replica and
+            are not kept as spares; shows where a replica can be built.
+        serial: Incremented by each change that other nodes need to know.
+        attempt: Id of the write that stored this value, by which a writer
+            that received no answer recognises its own write.
     """
 
     name: ids.DomainName
@@ -93,53 +95,55 @@
 
     @property
     def epoch(self) -> ids.Epoch:
-        """Return the newest fencing number, 0 before any holder."""
+        """Return the newest fencing number, 0 before the first lease."""
         return self.lease.epoch if self.lease else ids.Epoch(0)
 
-    def get(self, replica: ids.ReplicaId) -> Replica | None:
+    def get(self, replica_id: ids.ReplicaId) -> Replica | None:
         """Return the replica with this id."""
-        for held in self.replicas:
-            if held.id == replica:
-                return held
+        for replica in self.replicas:
+            if replica.id == replica_id:
+                return replica
         return None
 
     def find_owner(self, instance: ids.InstanceId) -> Replica | None:
         """Return the replica that an instance belongs to."""
-        for held in self.replicas:
-            if instance in held.members:
-                return held
+        for replica in self.replicas:
+            if instance in replica.members:
+                return replica
         return None
 
     def select(self, profile: ids.ProfileName) -> list[Replica]:
         """Return the replicas of one profile."""
-        return [held for held in self.replicas if held.profile == profile]
+        return [item for item in self.replicas if item.profile == profile]
 
     def count_accelerators(self, profile: ids.ProfileName) -> int:
-        """Return the accelerators one profile holds here."""
-        return sum(held.accelerators for held in self.select(profile))
+        """Return the number of accelerators that one profile holds here."""
+        return sum(replica.accelerators for replica in self.select(profile))
 
     def put(self, replica: Replica) -> "Domain":
         """Return the ledger with one replica added or replaced."""
-        others = [held for held in self.replicas if held.id != replica.id]
-        return self._with(others + [replica])
+        others = [other for other in self.replicas if other.id != replica.id]
+        return self._with_replicas(others + [replica])
 
-    def remove(self, replica: ids.ReplicaId) -> "Domain":
+    def remove(self, replica_id: ids.ReplicaId) -> "Domain":
         """Return the ledger without one replica."""
-        return self._with(held for held in self.replicas if held.id != replica)
+        return self._with_replicas(
+            replica for replica in self.replicas if replica.id != replica_id
+        )
 
     def has_overlap(self) -> bool:
-        """Return whether any instance stands in two replicas."""
+        """Return whether any instance belongs to two replicas."""
         seen: set[ids.InstanceId] = set()
-        for held in self.replicas:
-            if seen.intersection(held.members):
+        for replica in self.replicas:
+            if seen.intersection(replica.members):
                 return True
-            seen.update(held.members)
+            seen.update(replica.members)
         return False
 
     def is_same_placement(self, other: "Domain") -> bool:
-        """Return whether both place the same replicas."""
+        """Return whether both have the same replicas and idle instances."""
         return self.replicas == other.replicas and self.idle == other.idle
 
-    def _with(self, replicas: abc.Iterable[Replica]) -> "Domain":
-        ordered = tuple(sorted(replicas, key=lambda held: held.id))
+    def _with_replicas(self, replicas: abc.Iterable[Replica]) -> "Domain":
+        ordered = tuple(sorted(replicas, key=lambda replica: replica.id))
         return msgspec.structs.replace(self, replicas=ordered)
--- a/currantwall/state/gateway.py
+++ b/currantwall/state/gateway.py
@@ -1,4 +1,4 @@
-"""Settings of a gateway process, as its deployment gives them."""
+"""Settings of a gateway process, as given by its deployment."""
 
 import msgspec
 
@@ -8,24 +8,25 @@
 
 
 class GatewaySettings(msgspec.Struct, frozen=True, kw_only=True):
-    """What one process is told about itself.
+    """Settings of one gateway process.
 
     Attributes:
         front: Address for callers' requests.
-        ready: Address that answers whether requests are taken.
-        directory: Address where callers ask for addresses.
+        ready: Address of the readiness check.
+        directory: Address where callers look up the addresses of nodes.
         heartbeats: UDP address for the other nodes.
         peer: TCP address for the other nodes.
-        metrics: TCP address of the scrape page.
-        address_ttl: Seconds for which callers may keep an answer.
-        repeat_ratio: Repeats per request that all nodes may send.
-        repeat_slack: Repeats allowed beyond that.
-        repeat_window: Seconds over which repeats are counted.
+        metrics: TCP address that serves the metrics.
+        address_ttl: Seconds for which callers may cache an answer of the
+            directory.
+        repeat_ratio: Retries per request that all nodes together may send.
+        repeat_slack: Number of retries allowed beyond that.
+        repeat_window: Seconds over which retries are counted.
         grace: Seconds from the request to stop until the process is
             killed.
-        drain: Seconds for which callers still come after a stop began.
-        capacity: What it can carry, 1 for a whole core on a link of
-            100 Mbit/s; the scarcer of the two counts.
+        drain: Seconds for which requests still arrive after a stop began.
+        capacity: Relative capacity of the node; 1 is a whole core on a
+            link of 100 Mbit/s, and the scarcer of the two counts.
     """
 
     node: ids.NodeId
--- a/currantwall/state/grants.py
+++ b/currantwall/state/grants.py
@@ -1,8 +1,9 @@
-"""What each fabric domain may hold for one profile.
+"""Accelerators that each fabric domain may hold for one profile.
 
-The object ``grants/<profile>`` bounds the bill: capacity is granted here
-before a domain uses it and given back only after the domain has freed
-it, so the accelerators held never pass the profile's capacity.
+The object ``grants/<profile>`` bounds the cost of a profile: capacity is
+granted here before a domain uses it and returned only after the domain
+has freed it, so the accelerators held never exceed the profile's
+capacity.
 """
 
 import msgspec
@@ -13,19 +14,20 @@
 
 
 class Share(msgspec.Struct, frozen=True):
-    """What one domain may hold.
+    """Grant of one domain.
 
     Attributes:
         domain: The domain.
         epoch: Lease epoch of the holder that last claimed the share. A
-            holder uses a share only under its own epoch: a late write of
-            a former holder, which would give back what its successor
-            uses, then meets a newer version and fails.
-        granted: Accelerators the domain may hold. Raised by the planner
-            of the profile, lowered only by the holder of the domain.
-        target: Replicas the domain shall have.
-        rework: Replicas the domain may take out of service at a time to
-            give them a new generation in place.
+            holder first writes its own epoch and then uses the share:
+            a late write of its predecessor, which would return capacity
+            that is in use, then expects an old version and fails.
+        granted: Number of accelerators the domain may hold. Raised by the
+            planner of the profile, lowered only by the holder of the
+            domain's lease.
+        target: Number of replicas the domain should have.
+        rework: Number of replicas the domain may take out of service at a
+            time to give them a new generation in place.
     """
 
     domain: ids.DomainName
@@ -36,11 +38,12 @@
 
 
 class Grants(msgspec.Struct, frozen=True, kw_only=True):
-    """What ``grants/<profile>`` holds.
+    """Value of ``grants/<profile>``.
 
     Attributes:
-        profile_version: Version of the profile the shares follow; a
-            planner that knows an older one must not write.
+        profile_version: Version of the profile that the shares were
+            computed from; a planner that knows an older one must not
+            write.
     """
 
     profile: ids.ProfileName
@@ -50,18 +53,18 @@
 
     @property
     def total(self) -> int:
-        """Return the accelerators granted in all domains."""
+        """Return the number of accelerators granted to all domains."""
         return sum(share.granted for share in self.shares)
 
     def get(self, domain: ids.DomainName) -> Share:
-        """Return a domain's share, an empty one if it has none."""
+        """Return the share of a domain, an empty one if it has none."""
         for share in self.shares:
             if share.domain == domain:
                 return share
         return Share(domain)
 
     def put(self, share: Share) -> "Grants":
-        """Return the grants with one share replaced."""
-        others = [held for held in self.shares if held.domain != share.domain]
-        ordered = sorted(others + [share], key=lambda held: held.domain)
+        """Return the grants with one share added or replaced."""
+        others = [item for item in self.shares if item.domain != share.domain]
+        ordered = sorted(others + [share], key=lambda item: item.domain)
         return msgspec.structs.replace(self, shares=tuple(ordered))
--- a/currantwall/state/hashing.py
+++ b/currantwall/state/hashing.py
@@ -1,4 +1,4 @@
-"""Hashes that every process computes alike."""
+"""Hashes whose values are the same in every process."""
 
 import xxhash
 
--- a/currantwall/state/ids.py
+++ b/currantwall/state/ids.py
@@ -1,7 +1,7 @@
 """Identifier types.
 
-They cost nothing at run time; they keep a node's name from being passed
-where an instance's is wanted.
+They let a type checker reject, for example, a node's id where an
+instance's id is expected, and cost nothing at run time.
 """
 
 import typing
@@ -36,11 +36,12 @@
 ReplicaId = typing.NewType("ReplicaId", str)
 ServiceName = typing.NewType("ServiceName", str)
 
-# Counts lease holders of a fabric domain; also the fencing number.
+# Number of a lease of a fabric domain, incremented for each new holder; the
+# fencing number of orders.
 Epoch = typing.NewType("Epoch", int)
-# Counts the member sets that one replica has had.
+# Number of a replica's member set; a new set gets a higher one.
 Generation = typing.NewType("Generation", int)
-# Start of one process, in microseconds of its own wall clock.
+# Start of a process, in microseconds of its own wall clock.
 Incarnation = typing.NewType("Incarnation", int)
 # Revision that the platform's object API gave to a stored object.
 Version = typing.NewType("Version", int)
--- a/currantwall/state/instances.py
+++ b/currantwall/state/instances.py
@@ -1,4 +1,4 @@
-"""Instances as the platform lists them and as they report themselves."""
+"""Instances, as listed by the platform and as reported by themselves."""
 
 import enum
 
@@ -16,7 +16,7 @@
 
 
 class InstanceKind(enum.Enum):
-    """What runs on an instance."""
+    """Kind of process that runs on an instance."""
 
     ENTRY = "entry"
     ENGINE = "engine"
@@ -24,14 +24,14 @@
 
 
 class InstanceState(enum.Enum):
-    """What the platform's list says of an instance."""
+    """State of an instance in the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class ReportedState(enum.Enum):
-    """What an engine says it is doing."""
+    """State that an engine reports."""
 
     IDLE = "idle"
     LOADING = "loading"
@@ -39,12 +39,12 @@
 
 
 class Instance(msgspec.Struct, frozen=True, kw_only=True):
-    """One line of the platform's list, which lags behind the truth.
+    """One entry of the platform's list, which may be out of date.
 
     Attributes:
-        address: ``host:port`` that takes HTTP requests.
+        address: ``host:port`` for HTTP requests.
         peer_address: ``host:port`` of an entry's peer link.
-        service: Name of the plain service a service instance runs.
+        service: Name of the plain service that a service instance runs.
     """
 
     id: ids.InstanceId
@@ -59,15 +59,15 @@
 
 
 class Report(msgspec.Struct, frozen=True, kw_only=True):
-    """What an upstream instance says of itself, at ``GET /v1/report``.
+    """Answer of an upstream instance to ``GET /v1/report``.
 
     Attributes:
         started: Start of the process; a restart changes it.
-        epoch: Highest fencing number obeyed so far.
-        running: Requests being answered.
-        queued: Requests waiting inside the instance.
-        draining: Whether the instance asks for no new work.
-        cache_gaps: Gaps in the cache events published so far.
+        epoch: Highest fencing number accepted so far.
+        running: Number of requests being answered.
+        queued: Number of requests waiting inside the instance.
+        draining: Whether the instance asks for no new requests.
+        cache_gaps: Number of gaps in the cache events published so far.
     """
 
     instance: ids.InstanceId
--- a/currantwall/state/keys.py
+++ b/currantwall/state/keys.py
@@ -1,9 +1,9 @@
 """Idempotency keys and the entry process that may run them.
 
-A key issued by the system carries its home: the one incarnation of one
-entry process that may run it. Its text is
-``cw1.<node>.<incarnation>.<period>.<unique part>``; the period is counted
-by the home from its own start and bounds how long a key stays usable.
+A key issued by the system names its home: the one entry process, by node
+and incarnation, that may run its request. Its text is
+``cw1.<node>.<incarnation>.<period>.<unique part>``. The home counts
+periods from its own start; the period limits how long a key is valid.
 """
 
 import msgspec
@@ -14,18 +14,18 @@
 __all__ = ["Home", "IssuedKey", "hash_key", "make_prefix", "parse_key"]
 
 _SCHEME = "cw1"
-_FIELDS = 5
+_FIELD_COUNT = 5
 
 
 class Home(msgspec.Struct, frozen=True):
-    """The process that may run a key."""
+    """The process that may run the request of a key."""
 
     node: ids.NodeId
     incarnation: ids.Incarnation
 
 
 class IssuedKey(msgspec.Struct, frozen=True):
-    """A key that names its home."""
+    """The parts of a key that was issued by the system."""
 
     home: Home
     period: int
@@ -33,14 +33,14 @@
 
 
 def make_prefix(home: Home, period: int) -> str:
-    """Return the prefix that a caller completes to a key."""
+    """Return the prefix to which a caller appends a unique part."""
     return f"{_SCHEME}.{home.node}.{home.incarnation}.{period}."
 
 
 def parse_key(text: str) -> IssuedKey | None:
-    """Return the parts of an issued key, None for a caller's own key."""
-    parts = text.split(".", _FIELDS - 1)
-    if len(parts) != _FIELDS or parts[0] != _SCHEME or not parts[4]:
+    """Return the parts of an issued key, None for any other key."""
+    parts = text.split(".", _FIELD_COUNT - 1)
+    if len(parts) != _FIELD_COUNT or parts[0] != _SCHEME or not parts[4]:
         return None
     if not (parts[2].isdecimal() and parts[3].isdecimal()):
         return None
@@ -49,11 +49,11 @@
 
 
 def hash_key(key: ids.KeyText, scope: str) -> str:
-    """Return the object name that stands for a caller's own key.
+    """Return the object name for a key that a caller chose itself.
 
     Args:
         key: The caller's key.
         scope: Organisation and service; equal keys of two organisations
-            are two keys.
+            are different keys.
     """
     return hashing.hash_text_hex(f"{scope}\0{key}")
--- a/currantwall/state/members.py
+++ b/currantwall/state/members.py
@@ -1,4 +1,4 @@
-"""Entry nodes as the other entry nodes see them."""
+"""Entry nodes, as seen by other entry nodes."""
 
 import enum
 
@@ -10,7 +10,7 @@
 
 
 class MemberState(enum.Enum):
-    """Liveness of an entry node, in the order in which verdicts win."""
+    """State of an entry node, in ascending order of precedence."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -19,7 +19,7 @@
 
     @property
     def weight(self) -> int:
-        """Return the precedence among verdicts of equal age."""
+        """Return the precedence at equal incarnation and serial."""
         return list(MemberState).index(self)
 
 
@@ -27,9 +27,10 @@
     """One entry node.
 
     Attributes:
-        incarnation: Start of the process; 0 when only the platform's
-            list has named the node so far.
-        serial: Raised by the node itself to refute a verdict.
+        incarnation: Start of the process; 0 while the node is known only
+            from the platform's list.
+        serial: Incremented by the node itself to refute a state that
+            others spread about it.
     """
 
     id: ids.NodeId
@@ -42,18 +43,18 @@
 
     @property
     def is_usable(self) -> bool:
-        """Return whether the node may be given work."""
+        """Return whether work may be assigned to the node."""
         return self.state is MemberState.LIVE and self.incarnation > 0
 
     @property
     def is_present(self) -> bool:
-        """Return whether the node still takes messages."""
+        """Return whether the node still accepts messages."""
         return self.state is not MemberState.DEAD
 
     def supersedes(self, other: "Member") -> bool:
-        """Return whether this view is newer than another of one node."""
-        return self._age > other._age
+        """Return whether this is newer than other, of the same node."""
+        return self._precedence > other._precedence
 
     @property
-    def _age(self) -> tuple[int, int, int]:
+    def _precedence(self) -> tuple[int, int, int]:
         return (self.incarnation, self.serial, self.state.weight)
--- a/currantwall/state/objects.py
+++ b/currantwall/state/objects.py
@@ -1,7 +1,7 @@
-"""Objects of the platform's API, as typed values.
+"""Objects of the platform's object API, as typed values.
 
-Every kind that the system stores is registered here with its struct; a
-kind is one collection of the object API.
+A kind is one collection of the API. Each kind that nodes exchange is
+registered here with its struct.
 """
 
 import enum
@@ -36,17 +36,17 @@
     GRANTS = "grants"
     CLAIMS = "claims"
     STOPS = "stops"
-    # Lines of the platform's instance list, kept like objects so that
-    # the same versions and repairs carry them; never written.
+    # Entries of the platform's instance list. They are treated as objects
+    # so that the same versions and anti-entropy apply; never written.
     INSTANCES = "instances"
 
 
-# The kinds every node holds. Claims are read only where they are used.
+# Kinds that every node watches. Claims are read only when needed.
 WATCHED = (Kind.PROFILES, Kind.DOMAINS, Kind.GRANTS, Kind.STOPS)
 
 
 class ObjectKey(msgspec.Struct, frozen=True, order=True):
-    """Where an object is stored."""
+    """Kind and name of a stored object."""
 
     kind: str
     name: str
@@ -59,8 +59,8 @@
     """One stored value.
 
     Attributes:
-        value: The encoded value; empty once the object is deleted.
-        version: Grows with every write, also over a deletion.
+        value: The encoded value; empty if the object is deleted.
+        version: Increases with every write, also across a deletion.
     """
 
     key: ObjectKey
@@ -81,10 +81,10 @@
 
 
 def hash_material(stored: Stored, value: typing.Any) -> int:
-    """Return a hash of what other nodes need to know of an object.
+    """Return a hash that changes when other nodes need the new version.
 
-    The renewal of a lease changes a ledger's version, but nothing that
-    matters to others: it leaves this hash as it is.
+    A renewed lease changes the version of a domain's ledger, but nothing
+    that other nodes use, so it does not change this hash.
     """
     text = f"{stored.key} {stored.version}"
     if isinstance(value, domain.Domain):
@@ -98,7 +98,7 @@
 
 
 def decode(stored: Stored) -> typing.Any:
-    """Return the typed value, or None for a deleted or unknown one."""
+    """Return the typed value, None if deleted or of an unknown kind."""
     decoder = _DECODERS.get(stored.key.kind)
     if decoder is None or not stored.value:
         return None
--- a/currantwall/state/rendezvous.py
+++ b/currantwall/state/rendezvous.py
@@ -1,7 +1,8 @@
-"""Highest-random-weight hashing.
+"""Rendezvous hashing (highest random weight).
 
-Every node computes the same order from the same names, so who should do
-a job needs no message. It is a hint only: correctness never rests on it.
+Nodes that know the same names compute the same order, so they agree on
+who does a task without a message. It is only a hint: nodes may know
+different names, and correctness never depends on it.
 """
 
 from collections import abc
@@ -25,5 +26,5 @@
 
 
 def choose(key: str, names: abc.Iterable[Name], count: int) -> list[Name]:
-    """Return the first names in order of preference for the key."""
+    """Return the first ``count`` names of `rank`."""
     return rank(key, names)[:count]
--- a/currantwall/state/stops.py
+++ b/currantwall/state/stops.py
@@ -1,4 +1,4 @@
-"""Planned stops: what operators ask to be drained."""
+"""Planned stops, by which operators have something drained."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class StopScope(enum.Enum):
-    """What a stop covers."""
+    """What a stop drains."""
 
     INSTANCE = "instance"
     DOMAIN = "domain"
@@ -17,11 +17,12 @@
 
 
 class Stop(msgspec.Struct, frozen=True, kw_only=True):
-    """What ``stops/<id>`` holds.
+    """Value of ``stops/<id>``.
 
     Attributes:
         target: Name of the instance, domain, data centre or entry.
-        planned: When it was planned, in seconds since the Unix epoch.
+        planned: Time of the operator's call, in seconds since the Unix
+            epoch.
     """
 
     id: str
--- a/currantwall/state/timeline.py
+++ b/currantwall/state/timeline.py
@@ -1,8 +1,8 @@
-"""Time line of events: hybrid logical clock and a bounded ring.
+"""Timeline of events: a hybrid logical clock and a ring buffer.
 
-Each process keeps its last events. The stamp joins the wall clock with a
-counter that also grows on every message, so that merged events of many
-processes stand in an order that never puts an effect before its cause.
+Each process keeps its last events. A stamp is never earlier than one that
+was received in a message, so that the merged events of several processes
+are ordered with every cause before its effects.
 """
 
 import collections
@@ -37,14 +37,14 @@
 
 
 class Stamp(msgspec.Struct, frozen=True, order=True):
-    """Hybrid logical time: wall clock microseconds, then a counter."""
+    """Hybrid logical time: wall clock in microseconds, then a counter."""
 
     wall: int
     count: int = 0
 
 
 class Event(msgspec.Struct, frozen=True, kw_only=True):
-    """One line of the time line."""
+    """One event of the timeline."""
 
     stamp: Stamp
     node: str
@@ -54,13 +54,17 @@
 
 
 class HybridClock:
-    """Stamps events of one process."""
+    """Hybrid logical clock that stamps the events of one process."""
 
     def __init__(self) -> None:
         self._last = Stamp(0, 0)
 
     def advance(self, wall: int) -> Stamp:
-        """Return a stamp later than all seen so far."""
+        """Return a stamp later than all seen so far.
+
+        Args:
+            wall: Wall clock of this process, in microseconds.
+        """
         if wall > self._last.wall:
             self._last = Stamp(wall, 0)
         else:
@@ -68,22 +72,22 @@
         return self._last
 
     def observe(self, stamp: Stamp) -> None:
-        """Take note of a stamp that another process sent."""
+        """Advance the clock to a stamp that another process sent."""
         self._last = max(self._last, stamp)
 
 
 class Ring:
-    """The last events of one process; older ones fall out."""
+    """Ring buffer of the last events of one process."""
 
     def __init__(self, size: int) -> None:
         self._events: collections.deque[Event] = collections.deque(maxlen=size)
 
     def append(self, event: Event) -> None:
-        """Add an event, dropping the oldest when full."""
+        """Add an event; drop the oldest if the buffer is full."""
         self._events.append(event)
 
     def select(self, since: Stamp | None = None) -> list[Event]:
-        """Return the events after a stamp, oldest first."""
+        """Return the events after a stamp, or all, oldest first."""
         events: abc.Iterable[Event] = self._events
         if since is None:
             return list(events)
