--- a/currantwall/state/profile.py
+++ b/currantwall/state/profile.py
@@ -1,8 +1,8 @@
-"""Profiles: what operators edit.
+"""Profiles, which operators edit.
 
-A profile names a class of service, its model, and the capacity it may
-hold. Its text form is INI, one section a profile; the stored form is the
-`Profile` struct.
+A profile sets the class of service, the model, and the capacity that it
+may hold. Its text form is INI, with one section per profile; its stored
+form is the `Profile` struct.
 """
 
 from collections import abc
@@ -27,11 +27,11 @@
 ]
 
 Value = typing.TypeVar("Value")
-_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]*")
+_NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]*")
 
 
 class ServiceClass(enum.Enum):
-    """Class of service; an earlier one is placed and served first."""
+    """Class of service; earlier classes are placed and served first."""
 
     CRITICAL = "critical"
     STANDARD = "standard"
@@ -47,13 +47,13 @@
     """One profile.
 
     Attributes:
-        capacity: Accelerators the profile may hold at most.
-        replicas: Replicas wanted.
-        replica_size: Instances in each replica.
+        capacity: Maximum number of accelerators the profile may hold.
+        replicas: Desired number of replicas.
+        replica_size: Number of instances of each replica.
         downtime_weight: Cost of one replica-second without service.
         stranded_weight: Cost of one accelerator-second held by no
             serving replica.
-        concurrency: Requests in flight allowed to each replica.
+        concurrency: Maximum number of requests in flight per replica.
     """
 
     name: ids.ProfileName
@@ -71,23 +71,23 @@
 
 
 class SettingError(msgspec.Struct, frozen=True):
-    """A value in an INI file that cannot be used."""
+    """An error in an INI file, with its place and what is wrong."""
 
     file: str
     section: str
     key: str
-    expected: str
+    message: str
 
     def __str__(self) -> str:
-        place = f"[{self.section}] {self.key}".strip()
+        location = f"[{self.section}] {self.key}".strip()
         if not self.section:
-            return f"{self.file}: {self.expected}"
-        return f"{self.file}: {place}: {self.expected}"
+            return f"{self.file}: {self.message}"
+        return f"{self.file}: {location}: {self.message}"
 
 
 # -- Reading one INI section into a struct
 
-_KIND_NAMES: dict[typing.Any, str] = {
+_TYPE_DESCRIPTIONS: dict[typing.Any, str] = {
     int: "a whole number",
     float: "a number",
     tuple[int, ...]: "whole numbers separated by commas",
@@ -99,7 +99,7 @@
 
 
 def _convert(text: str, kind: typing.Any) -> typing.Any:
-    """Return the value an INI text stands for in a field of this type."""
+    """Return an INI text converted to the type of a field."""
     if typing.get_origin(kind) is tuple:
         return msgspec.convert(_split_list(text), kind, strict=False)
     if kind is bool:
@@ -109,12 +109,13 @@
 
 
 def _describe(kind: typing.Any, error: Exception) -> str:
+    """Return what a field of this type accepts, for an error message."""
     if isinstance(kind, enum.EnumMeta):
-        names = ", ".join(str(member.value) for member in kind)
-        return f"one of {names}"
+        values = ", ".join(str(member.value) for member in kind)
+        return f"one of {values}"
     if kind is bool:
         return "yes or no"
-    return _KIND_NAMES.get(kind, str(error))
+    return _TYPE_DESCRIPTIONS.get(kind, str(error))
 
 
 def read_fields(
@@ -128,10 +129,10 @@
 
     Args:
         kind: The msgspec struct to fill.
-        section: Keys and texts.
+        section: Keys of the section and their texts.
         file: Name of the file, for errors.
         title: Name of the section, for errors.
-        extra: Fields that do not come from the section's keys.
+        extra: Values of fields that are not keys of the section.
     """
     hints = typing.get_type_hints(kind)
     values: dict[str, object] = dict(extra or {})
@@ -139,23 +140,23 @@
     known = sorted(name for name in fields if name not in values)
     for key, text in section.items():
         if key not in known:
-            wanted = f"unknown key; expected one of {', '.join(known)}"
-            return result.Err(SettingError(file, title, key, wanted))
+            message = f"unknown key; expected one of {', '.join(known)}"
+            return result.Err(SettingError(file, title, key, message))
         try:
             values[key] = _convert(text, hints[key])
         except msgspec.ValidationError as error:
-            wanted = f"expected {_describe(hints[key], error)}, got {text!r}"
-            return result.Err(SettingError(file, title, key, wanted))
+            message = f"expected {_describe(hints[key], error)}, got {text!r}"
+            return result.Err(SettingError(file, title, key, message))
     for name, field in fields.items():
         if field.required and name not in values:
-            wanted = "this key is missing"
-            return result.Err(SettingError(file, title, name, wanted))
+            message = "this key is missing"
+            return result.Err(SettingError(file, title, name, message))
     return result.Ok(kind(**values))
 
 
 def is_name(text: str) -> bool:
-    """Return whether a text can name an object and stand in a URL."""
-    return bool(_NAME.fullmatch(text))
+    """Return whether a text is a valid object name, usable in a URL."""
+    return bool(_NAME_PATTERN.fullmatch(text))
 
 
 # -- Profiles as INI
@@ -173,12 +174,14 @@
 }
 
 
-def _check(profile: Profile, file: str, title: str) -> SettingError | None:
-    for key, least in _MINIMUMS.items():
+def _check_minimums(
+    profile: Profile, file: str, title: str
+) -> SettingError | None:
+    for key, minimum in _MINIMUMS.items():
         value = getattr(profile, key)
-        if value < least:
-            wanted = f"expected at least {least}, got {value}"
-            return SettingError(file, title, key, wanted)
+        if value < minimum:
+            message = f"expected at least {minimum}, got {value}"
+            return SettingError(file, title, key, message)
     return None
 
 
@@ -186,15 +189,15 @@
     parser: configparser.ConfigParser, title: str, file: str
 ) -> result.Result[Profile, SettingError]:
     if not title.startswith(_PREFIX) or not title[len(_PREFIX) :].strip():
-        wanted = "expected sections named [profile NAME]"
-        return result.Err(SettingError(file, title, "", wanted))
+        message = "expected sections named [profile NAME]"
+        return result.Err(SettingError(file, title, "", message))
     name = title[len(_PREFIX) :].strip()
     if not is_name(name):
-        wanted = "expected a name of letters, digits, '.', '_' and '-'"
-        return result.Err(SettingError(file, title, "", wanted))
+        message = "expected a name of letters, digits, '.', '_' and '-'"
+        return result.Err(SettingError(file, title, "", message))
     outcome = read_fields(Profile, parser[title], file, title, {"name": name})
     if isinstance(outcome, result.Ok):
-        problem = _check(outcome.ok_value, file, title)
+        problem = _check_minimums(outcome.ok_value, file, title)
         if problem is not None:
             return result.Err(problem)
     return outcome
@@ -203,7 +206,7 @@
 def parse_profiles(
     text: str, file: str
 ) -> result.Result[list[Profile], SettingError]:
-    """Return the profiles an INI text describes, in its order."""
+    """Return the profiles of an INI text, in its order."""
     parser = configparser.ConfigParser(interpolation=None)
     try:
         parser.read_string(text, file)
@@ -217,8 +220,8 @@
             return outcome
         profiles.append(outcome.ok_value)
     if not profiles:
-        wanted = "expected at least one section named [profile NAME]"
-        return result.Err(SettingError(file, "", "", wanted))
+        message = "expected at least one section named [profile NAME]"
+        return result.Err(SettingError(file, "", "", message))
     return result.Ok(profiles)
 
 
--- a/currantwall/state/routes.py
+++ b/currantwall/state/routes.py
@@ -1,7 +1,7 @@
 """Routes, services, models and organisations of one configuration.
 
-A configuration is one immutable value that a node swaps whole, so that a
-request is handled by one version from its first byte to its last.
+A configuration is one immutable value that a node replaces as a whole, so
+that a request is handled by a single version from start to end.
 """
 
 from collections import abc
@@ -28,18 +28,18 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated of a request on a route."""
+    """Whether requests of a route may run more than once."""
 
     # Idempotent: may run more than once.
     SAFE = "safe"
     # Runs at most once for each request of a caller.
     UNSAFE = "unsafe"
-    # Answered by a series of events; idempotent only where resumable.
+    # Answered by a stream of events; idempotent only if resumable.
     STREAMING = "streaming"
 
 
 class Share(msgspec.Struct, frozen=True):
-    """The part of a route's requests that one service takes."""
+    """Share of a route's requests that one service receives."""
 
     service: ids.ServiceName
     weight: int
@@ -51,14 +51,14 @@
     Attributes:
         prefix: Path prefix; begins and ends with a slash.
         timeout: Seconds after which a caller gets a final answer.
-        target: Seconds within which an answer is on time; for streams
-            until the first event.
-        gap: Longest pause between two events that is still on time, in
-            seconds; 0 where the operator gives none.
-        priority: Rank among requests, 0 first.
-        attempts: Upstreams that one request may run on at most.
-        public: Whether it needs no key of an organisation.
-        resumable: Whether a stream may go on at another upstream.
+        target: Target latency in seconds: until the answer, or for
+            streams until the first event.
+        gap: Longest pause between two events of a stream that is on time,
+            in seconds; 0 if the operator sets none.
+        priority: Priority of its requests; 0 is the highest.
+        attempts: Maximum number of upstreams that a request may run on.
+        public: Whether requests need no key of an organisation.
+        resumable: Whether a stream may continue at another upstream.
     """
 
     name: str
@@ -76,16 +76,16 @@
 
     @property
     def is_idempotent(self) -> bool:
-        """Return whether a request may run a second time."""
+        """Return whether a request may run more than once."""
         if self.kind is RouteKind.STREAMING:
             return self.resumable
         return self.kind is RouteKind.SAFE
 
     def choose_service(self, attempt: str) -> ids.ServiceName:
-        """Return the service for a request, by the weights.
+        """Return the service for a request, chosen by the weights.
 
-        The choice follows from the request's id alone, so that a retry
-        inside one request stays with its service.
+        The choice depends only on the request's id, so that its retries
+        go to the same service.
         """
         total = sum(share.weight for share in self.shares)
         point = hashing.hash_text(attempt) % total if total > 0 else 0
@@ -100,11 +100,11 @@
     """One model that an engine service can serve.
 
     Attributes:
-        size: Instances of one replica.
-        share: Part of the work expected before any was seen.
-        pace: Factor on all times of its replicas.
-        load: Seconds to bring the weights to a host.
-        warm: Seconds to join a replica with the weights on the host.
+        size: Number of instances of one replica.
+        share: Expected share of the work, before any was observed.
+        pace: Factor applied to all times of its replicas.
+        load: Seconds to load the weights onto a host.
+        warm: Seconds to join a replica when the host has the weights.
     """
 
     name: str
@@ -116,18 +116,20 @@
 
 
 class Timing(msgspec.Struct, frozen=True, kw_only=True):
-    """How long a replica takes over its work, in seconds, at pace 1.
+    """Cost model of a replica: times in seconds at pace 1.
 
     Attributes:
-        step: One token of each request that is writing.
-        per_request: Added to a step for each of them.
+        step: Time of a decoding step, which yields one token for each
+            request that is generating.
+        per_request: Added to a step for each such request.
         per_token: Added to a step for each token of their contexts.
-        read_token: One token of a prompt.
-        read_pair: One pair of a prompt's token and an earlier one.
-        steps: Steps of a pass; a stream gets one event a pass.
-        chunk: Tokens of prompts that are read in one step at most.
-        prompt: Mean tokens of a prompt.
-        answer: Mean tokens of an answer.
+        read_token: Time to prefill one token of a prompt.
+        read_pair: Time for each pair of a prompt's token and an earlier
+            one.
+        steps: Steps per pass; a stream gets one event per pass.
+        chunk: Maximum number of prompt tokens prefilled in one step.
+        prompt: Mean number of tokens of a prompt.
+        answer: Mean number of tokens of an answer.
     """
 
     step: float
@@ -142,23 +144,25 @@
 
 
 class Engine(msgspec.Struct, frozen=True, kw_only=True):
-    """What the instances of an engine service have in common.
+    """Properties that all instances of an engine service share.
 
     Attributes:
-        slots: Requests that a replica works on at once.
-        loads_per_second: Loads that may start in a second, all together.
-        loads_at_once: Loads beyond which each takes longer.
-        kept: Models whose weights a host keeps.
-        form: Seconds from the order to open until a replica serves.
-        timing: None where the operator tells none.
+        slots: Requests that a replica processes at once.
+        loads_per_second: Loads that may start per second, over all
+            instances.
+        loads_at_once: Number of concurrent loads above which each takes
+            longer.
+        models_kept: Number of models whose weights a host keeps.
+        form_time: Seconds from the order to open until a replica serves.
+        timing: None if the operator gives none.
     """
 
     slots: int
     models: tuple[Model, ...]
     loads_per_second: float = 1.0
     loads_at_once: int = 1
-    kept: int = 1
-    form: float = 0.0
+    models_kept: int = 1
+    form_time: float = 0.0
     timing: Timing | None = None
 
     def find(self, name: str) -> Model | None:
@@ -173,8 +177,9 @@
     """One service behind the routes.
 
     Attributes:
-        connections: Connections an instance takes from all callers.
-        engine: Set where the instances are model engines.
+        connections: Number of connections that one instance accepts from
+            all callers together.
+        engine: Set if the instances are model engines.
     """
 
     name: ids.ServiceName
@@ -183,13 +188,15 @@
 
 
 class Limits(msgspec.Struct, frozen=True, kw_only=True):
-    """What a caller may send and how long it may take.
+    """Limits on the size of requests and on the time to send them.
 
     Attributes:
-        header_bytes: Size of the request line and headers.
-        body_bytes: Size of a body.
-        header_timeout: Seconds from the first byte to the last header.
-        idle_timeout: Seconds between two requests on a connection.
+        header_bytes: Maximum size of the request line and headers.
+        body_bytes: Maximum size of a body.
+        header_timeout: Maximum seconds from the first byte to the last
+            header.
+        idle_timeout: Maximum seconds between two requests on a
+            connection.
     """
 
     header_bytes: int = 16_384
@@ -199,7 +206,7 @@
 
 
 class Organisation(msgspec.Struct, frozen=True, kw_only=True):
-    """Who may send requests, known by its keys."""
+    """A caller that may send requests, identified by its keys."""
 
     name: ids.OrganisationName
     keys: tuple[str, ...]
@@ -207,11 +214,11 @@
 
 
 class Configuration(msgspec.Struct, frozen=True, kw_only=True):
-    """One version of what the operator wants.
+    """One version of the operator's configuration.
 
     Attributes:
-        version: Rises with each change, by uneven steps.
-        organisations: None where requests need no key at all.
+        version: Increases with each change, not always by 1.
+        organisations: None if no request needs a key.
     """
 
     version: int
@@ -222,7 +229,7 @@
 
 
 class RouteTable:
-    """A configuration with the indexes that requests need."""
+    """A configuration, indexed for look-ups by requests."""
 
     def __init__(self, configuration: Configuration) -> None:
         self.configuration = configuration
@@ -236,7 +243,7 @@
             for organisation in configuration.organisations or ()
             for key in organisation.keys
         }
-        self._services = {one.name: one for one in configuration.services}
+        self._services = {item.name: item for item in configuration.services}
 
     @property
     def version(self) -> int:
@@ -254,14 +261,14 @@
         return self._services.values()
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that fits."""
+        """Return the route of a host with the longest matching prefix."""
         for route in self._hosts.get(host.lower(), ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
     def find_organisation(self, key: str) -> Organisation | None:
-        """Return who holds a key."""
+        """Return the organisation of a key."""
         return self._keys.get(key)
 
     def find_service(self, name: ids.ServiceName) -> Service | None:
--- a/currantwall/state/settings.py
+++ b/currantwall/state/settings.py
@@ -40,7 +40,7 @@
 
 
 class NodeSection(msgspec.Struct, frozen=True, kw_only=True):
-    """``[node]``: who this process is and where it listens."""
+    """``[node]``: identity and addresses of this process."""
 
     id: ids.NodeId
     datacentre: ids.DatacentreName
@@ -63,14 +63,15 @@
 
 
 class PeersSection(msgspec.Struct, frozen=True, kw_only=True):
-    """``[peers]``: what entry processes tell each other, and how often.
+    """``[peers]``: messages between entry processes.
 
     Attributes:
         key: Shared secret of all entry processes.
         seeds: ``host:port`` of peer links to try when the platform's
-            list cannot be had.
-        relays: Nodes of each data centre that carry news to the others.
-        news_limit: Member news carried by one message.
+            list is unavailable.
+        relays: Number of nodes in each data centre that relay messages to
+            the other data centres.
+        news_limit: Maximum number of member updates in one message.
     """
 
     key: str
@@ -92,17 +93,18 @@
 
     Attributes:
         epoch_checked: Whether the engines refuse an old fencing number.
-        evidence_ttl: Age after which evidence no longer counts.
+        evidence_ttl: Age at which evidence is discarded.
         load_time: Expected time to load a model on one instance.
-        loads: Replicas one domain loads at a time, so that all domains
-            together stay under the weight store's rate.
-        pause_share: Share of silent instances that come back by
-            themselves with their model still loaded.
-        pause_time: Mean time until those come back.
-        restart_time: Mean time until a stopped process is back, empty.
+        loads: Replicas that one domain loads at a time, so that all
+            domains together stay below the rate of the weight store.
+        pause_share: Share of silent instances that recover by themselves
+            with their model still loaded.
+        pause_time: Mean time until those recover.
+        restart_time: Mean time until a stopped process has restarted,
+            with no model loaded.
         replace_time: Mean time until the platform replaces an instance.
         move_time: Expected time to rebuild a replica in another domain.
-        horizon: Time over which the cost of a repair is weighed.
+        horizon: Time over which the costs of repairs are compared.
     """
 
     epoch_checked: bool = True
@@ -132,13 +134,14 @@
     """``[requests]``: callers' requests and their keys.
 
     Attributes:
-        entries_ttl: How long callers may keep the addresses they got.
+        entries_ttl: Time for which callers may cache entries' addresses.
         key_period: Length of one period of issued keys.
-        key_periods: Periods for which a key stays usable.
-        key_limit: Keys of one process at most; more are refused.
-        answer_limit: Bytes of one answer kept for a key.
-        retry_share: Retries allowed as a share of requests.
-        attempts: Tries of one request at most.
+        key_periods: Number of periods for which a key is valid.
+        key_limit: Maximum number of keys per process; further ones are
+            refused.
+        answer_limit: Maximum size in bytes of an answer kept for a key.
+        retry_share: Retries allowed, as a share of requests.
+        attempts: Maximum number of attempts of one request.
     """
 
     entries_ttl: float = 10.0
@@ -159,18 +162,18 @@
 
 
 class OperatorsSection(msgspec.Struct, frozen=True, kw_only=True):
-    """``[operators]``: the key of operators' calls; empty allows all."""
+    """``[operators]``: the key that operators' calls need, empty for none."""
 
     key: str = ""
 
 
 class OrganisationSection(msgspec.Struct, frozen=True, kw_only=True):
-    """``[organisation NAME]``: one organisation that may call.
+    """``[organisation NAME]``: an organisation that may send requests.
 
     Attributes:
-        token: Bearer token that names the organisation.
+        token: Bearer token that identifies the organisation.
         weight: Share of a contended profile, relative to the others.
-        rate: Requests a second over all entries, 0 for no limit.
+        rate: Requests per second over all entries, 0 for no limit.
     """
 
     name: ids.OrganisationName
@@ -183,10 +186,10 @@
     """``[service NAME]``: a plain service behind the system.
 
     Attributes:
-        idempotent: Whether its calls may be repeated.
-        concurrency: Calls in flight allowed to one instance.
-        refusals: Statuses by which the service says that it did not run
-            a call.
+        idempotent: Whether calls to it may be retried.
+        concurrency: Maximum number of calls in flight per instance.
+        refusals: HTTP statuses that mean that the service did not run
+            the call.
     """
 
     name: ids.ServiceName
@@ -197,12 +200,12 @@
 
 
 class KindSection(msgspec.Struct, frozen=True, kw_only=True):
-    """``[kind NAME]``: a kind of request and what an answer is worth.
+    """``[kind NAME]``: a kind of request and the value of its answer.
 
     Attributes:
-        weight: Worth of one answered request relative to others.
-        deadline: Seconds after which an answer is of no use, 0 for the
-            limit in ``[requests]``.
+        weight: Value of one answered request, relative to other kinds.
+        deadline: Seconds after which an answer is useless; 0 for the
+            timeout in ``[requests]``.
     """
 
     name: str
@@ -224,7 +227,7 @@
     kinds: tuple[KindSection, ...] = ()
 
 
-_SINGLE: dict[str, type[msgspec.Struct]] = {
+_SECTIONS: dict[str, type[msgspec.Struct]] = {
     "node": NodeSection,
     "platform": PlatformSection,
     "peers": PeersSection,
@@ -232,20 +235,21 @@
     "requests": RequestsSection,
     "operators": OperatorsSection,
 }
-_NAMED: dict[str, tuple[str, type[msgspec.Struct]]] = {
+_NAMED_SECTIONS: dict[str, tuple[str, type[msgspec.Struct]]] = {
     "organisation": ("organisations", OrganisationSection),
     "service": ("services", ServiceSection),
     "kind": ("kinds", KindSection),
 }
-_NAMES = (("node", "id"), ("node", "datacentre"))
-_ADDRESSES = (("node", "address"), ("node", "peer_address"))
-_POSITIVE = ("interval", "timeout", "ttl", "limit", "time", "period")
+_NAME_KEYS = (("node", "id"), ("node", "datacentre"))
+_ADDRESS_KEYS = (("node", "address"), ("node", "peer_address"))
+# Last words of the names of keys whose value must not be 0.
+_POSITIVE_SUFFIXES = ("interval", "timeout", "ttl", "limit", "time", "period")
 
-Outcome = result.Result[Settings, profile.SettingError]
+SettingsResult = result.Result[Settings, profile.SettingError]
 
 
 def split_address(text: str) -> tuple[str, int] | None:
-    """Return host and port of a ``host:port`` text, None if it is none."""
+    """Return host and port of a ``host:port`` text, None if invalid."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal() or int(port) >= _PORT_LIMIT:
         return None
@@ -259,41 +263,47 @@
         value = getattr(section, name)
         if not isinstance(value, int | float) or isinstance(value, bool):
             continue
-        strict = name.rsplit("_", 1)[-1] in _POSITIVE
-        if value < 0 or (strict and value == 0):
-            wanted = f"expected a positive number, got {value}"
-            return profile.SettingError(file, title, name, wanted)
+        must_be_positive = name.rsplit("_", 1)[-1] in _POSITIVE_SUFFIXES
+        if value < 0 or (must_be_positive and value == 0):
+            message = f"expected a positive number, got {value}"
+            return profile.SettingError(file, title, name, message)
     return None
 
 
 def _check_leases(
     section: ReplicasSection, file: str
 ) -> profile.SettingError | None:
-    """A lease must outlive its renewals, its margin and its orders."""
+    """Check that a lease allows two renewals and outlives its orders."""
     if section.renew_interval * 2 > section.lease_ttl - section.lease_margin:
-        wanted = "expected at most half of lease_ttl less lease_margin"
-        return profile.SettingError(file, "replicas", "renew_interval", wanted)
+        message = "expected at most half of lease_ttl less lease_margin"
+        return profile.SettingError(
+            file, "replicas", "renew_interval", message
+        )
     if section.order_lifetime >= section.lease_margin:
-        wanted = "expected less than lease_margin"
-        return profile.SettingError(file, "replicas", "order_lifetime", wanted)
+        message = "expected less than lease_margin"
+        return profile.SettingError(
+            file, "replicas", "order_lifetime", message
+        )
     return None
 
 
-def _check(settings: Settings, file: str) -> profile.SettingError | None:
-    for title, key in _NAMES:
+def _check_settings(
+    settings: Settings, file: str
+) -> profile.SettingError | None:
+    for title, key in _NAME_KEYS:
         text = getattr(getattr(settings, title), key)
         if not profile.is_name(text) or "." in text:
-            wanted = "expected a name of letters, digits, '_' and '-'"
-            return profile.SettingError(file, title, key, wanted)
-    for title, key in _ADDRESSES:
+            message = "expected a name of letters, digits, '_' and '-'"
+            return profile.SettingError(file, title, key, message)
+    for title, key in _ADDRESS_KEYS:
         text = getattr(getattr(settings, title), key)
         if split_address(text) is None:
-            wanted = f"expected HOST:PORT, got {text!r}"
-            return profile.SettingError(file, title, key, wanted)
+            message = f"expected HOST:PORT, got {text!r}"
+            return profile.SettingError(file, title, key, message)
     if not settings.platform.url.startswith("http://"):
-        wanted = "expected a URL starting with http://"
-        return profile.SettingError(file, "platform", "url", wanted)
-    for title in _SINGLE:
+        message = "expected a URL starting with http://"
+        return profile.SettingError(file, "platform", "url", message)
+    for title in _SECTIONS:
         problem = _check_numbers(getattr(settings, title), file, title)
         if problem is not None:
             return problem
@@ -303,20 +313,22 @@
 def _read_section(
     parser: configparser.ConfigParser, title: str, file: str
 ) -> result.Result[msgspec.Struct, profile.SettingError]:
-    word, _, name = title.partition(" ")
-    if word in _SINGLE and not name:
-        return profile.read_fields(_SINGLE[word], parser[title], file, title)
-    if word in _NAMED and name.strip():
-        _, kind = _NAMED[word]
+    prefix, _, name = title.partition(" ")
+    if prefix in _SECTIONS and not name:
+        return profile.read_fields(
+            _SECTIONS[prefix], parser[title], file, title
+        )
+    if prefix in _NAMED_SECTIONS and name.strip():
+        _, kind = _NAMED_SECTIONS[prefix]
         extra = {"name": name.strip()}
         return profile.read_fields(kind, parser[title], file, title, extra)
-    known = [*_SINGLE, *(f"{word} NAME" for word in _NAMED)]
-    wanted = f"unknown section; expected one of {', '.join(known)}"
-    return result.Err(profile.SettingError(file, title, "", wanted))
+    known = [*_SECTIONS, *(f"{prefix} NAME" for prefix in _NAMED_SECTIONS)]
+    message = f"unknown section; expected one of {', '.join(known)}"
+    return result.Err(profile.SettingError(file, title, "", message))
 
 
-def parse_settings(text: str, file: str) -> Outcome:
-    """Return the settings an INI text describes."""
+def parse_settings(text: str, file: str) -> SettingsResult:
+    """Return the settings of an INI text."""
     parser = configparser.ConfigParser(interpolation=None)
     try:
         parser.read_string(text, file)
@@ -328,17 +340,17 @@
         outcome = _read_section(parser, title, file)
         if isinstance(outcome, result.Err):
             return outcome
-        word = title.split(" ", 1)[0]
-        if word in _NAMED:
-            field = _NAMED[word][0]
+        prefix = title.split(" ", 1)[0]
+        if prefix in _NAMED_SECTIONS:
+            field = _NAMED_SECTIONS[prefix][0]
             values[field] = (*values.get(field, ()), outcome.ok_value)
         else:
-            values[word] = outcome.ok_value
+            values[prefix] = outcome.ok_value
     for title in ("node", "platform", "peers"):
         if title not in values:
-            wanted = "this section is missing"
-            error = profile.SettingError(file, title, "", wanted)
+            message = "this section is missing"
+            error = profile.SettingError(file, title, "", message)
             return result.Err(error)
     settings = Settings(**values)
-    problem = _check(settings, file)
+    problem = _check_settings(settings, file)
     return result.Err(problem) if problem else result.Ok(settings)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -143,7 +143,7 @@
         self.assertFalse(unsafe.is_idempotent)
         self.assertEqual(unsafe.shares[0].service, "other")
         self.assertEqual(found.services[0].engine.models[0].size, 4)
-        self.assertEqual(found.services[0].engine.form, 0.3)
+        self.assertEqual(found.services[0].engine.form_time, 0.3)
         self.assertEqual(found.limits.idle_timeout, 9.0)
         self.assertEqual(found.organisations[0].keys, ("k1", "k2"))
 
