--- a/currantwall/coordination/messages.py
+++ b/currantwall/coordination/messages.py
@@ -1,4 +1,4 @@
-"""What the transport, or one part, tells the parts."""
+"""Messages to parts, from the transport or from other parts."""
 
 import enum
 import typing
@@ -11,7 +11,7 @@
 
 __all__ = [
     "Delivered",
-    "Doubted",
+    "ProbeRequested",
     "InstancesListed",
     "MemberChanged",
     "ObjectChanged",
@@ -26,11 +26,11 @@
 
 
 class Received(part.Message, frozen=True):
-    """A body from another node.
+    """A message body arrived from another node.
 
     Attributes:
-        delay: Seconds it took beyond the shortest delay seen on the
-            link, so that a message held up on the way shows its age.
+        delay: Seconds in transit beyond the shortest delay seen on the
+            link, from which the age of a delayed message follows.
     """
 
     sender: ids.NodeId
@@ -44,7 +44,7 @@
 
 
 class Delivered(part.Message, frozen=True):
-    """A payload that a node spread to all.
+    """A payload arrived that a node broadcast to all.
 
     Attributes:
         age: Seconds since it left its origin.
@@ -64,12 +64,12 @@
 
 
 class PlatformStatus(enum.Enum):
-    """How a call to the platform ended."""
+    """Outcome of a call to the platform."""
 
     OK = "ok"
     CONFLICT = "conflict"
     NOT_FOUND = "not_found"
-    # The watch asked for changes that the platform no longer has.
+    # The platform no longer keeps the changes that a watch asked for.
     EXPIRED = "expired"
     # The call may or may not have taken effect.
     LOST = "lost"
@@ -81,9 +81,9 @@
     """A call to the platform has ended.
 
     Attributes:
-        revision: Newest revision the answer covers.
-        complete: Whether `stored` holds every object of the watched
-            kinds, so that what it lacks is gone.
+        revision: Newest revision that the answer covers.
+        complete: Whether `stored` lists every object of the watched kinds,
+            so that objects missing from it have been deleted.
     """
 
     call: ids.CallId
@@ -104,10 +104,11 @@
 
 
 class InstancesListed(part.Message, frozen=True):
-    """The platform's list, as of one revision.
+    """A call for the platform's list has ended.
 
     Attributes:
-        unchanged: Whether it is still as of the revision asked about.
+        unchanged: Whether the revision sent with the call is still
+            current, so that no list was sent.
     """
 
     call: ids.CallId
@@ -121,7 +122,7 @@
 
 
 class ProbeOutcome(enum.Enum):
-    """How a probe ended."""
+    """Outcome of a probe."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
@@ -137,15 +138,15 @@
 
 
 class OrderOutcome(enum.Enum):
-    """How an order ended."""
+    """Outcome of an order."""
 
     TAKEN = "taken"
     # Refused by the engine for its fencing number.
     FENCED = "fenced"
     REFUSED = "refused"
-    # Not sent: the lease's deadline had passed.
+    # Not sent, because its deadline had passed.
     EXPIRED = "expired"
-    # The engine may or may not obey it.
+    # The engine may or may not have received it.
     LOST = "lost"
 
 
@@ -161,19 +162,19 @@
 
 
 class ObjectChanged(part.Message, frozen=True):
-    """A newer version of an object is in force in this process."""
+    """A newer version of an object is now in force in this process."""
 
     stored: objects.Stored
     value: typing.Any
 
 
-class Doubted(part.Message, frozen=True):
-    """A node does not answer somebody here; it should be probed now."""
+class ProbeRequested(part.Message, frozen=True):
+    """A part got no answer from a node, which should be probed at once."""
 
     node: ids.NodeId
 
 
 class MemberChanged(part.Message, frozen=True):
-    """A member joined, left, or its state changed."""
+    """A member joined, left or changed its state."""
 
     node: ids.NodeId
--- a/currantwall/coordination/peers/membership.py
+++ b/currantwall/coordination/peers/membership.py
@@ -165,9 +165,9 @@
             return []
         return self._probe_now(target, now)
 
-    @part.handles(messages.Doubted)
+    @part.handles(messages.ProbeRequested)
     def _on_doubt(
-        self, message: messages.Doubted, now: float
+        self, message: messages.ProbeRequested, now: float
     ) -> list[part.Action]:
         """Have a node probed at once, from within its data centre."""
         member = self._view.get(message.node)
--- a/currantwall/coordination/profiles/edits.py
+++ b/currantwall/coordination/profiles/edits.py
@@ -245,7 +245,7 @@
         found: list[part.Action] = []
         for node in sorted(edit.waiting):
             found.append(actions.Send(node, push))
-            found.append(actions.Tell(messages.Doubted(node)))
+            found.append(actions.Tell(messages.ProbeRequested(node)))
         return found
 
     def _end(self, edit: _Edit, outcome: EditOutcome) -> list[part.Action]:
