--- a/currantwall/coordination/actions.py
+++ b/currantwall/coordination/actions.py
@@ -1,4 +1,4 @@
-"""What parts ask the transport to do."""
+"""Actions that parts ask the transport, or each other, to carry out."""
 
 import enum
 import typing
@@ -31,7 +31,7 @@
 
 
 class Counter(enum.Enum):
-    """Counters; docs/operators/metrics.md tells what each is for."""
+    """Counters; docs/operators/metrics.md describes each."""
 
     PLATFORM_CALLS = "currantwall.platform.calls"
     PLATFORM_CONFLICTS = "currantwall.platform.conflicts"
@@ -54,16 +54,16 @@
 
 
 class Tell(part.Action, frozen=True):
-    """Give a message to the other parts of this process."""
+    """Deliver a message to the parts of this process."""
 
     message: part.Message
 
 
 class Publish(part.Action, frozen=True):
-    """Spread a payload to all entry nodes.
+    """Broadcast a payload to all entry nodes.
 
     Attributes:
-        urgent: Whether it leaves at once rather than with the next batch.
+        urgent: Whether to send it at once, not with the next batch.
         local: Whether it stays in this data centre; for relays only.
     """
 
@@ -73,7 +73,7 @@
 
 
 class Send(part.Action, frozen=True):
-    """Send a message to one entry node; it may be lost."""
+    """Send a message, which may be lost, to one entry node."""
 
     to: ids.NodeId
     body: wire.Body
@@ -83,18 +83,18 @@
 
 
 class ReadObject(part.Action, frozen=True):
-    """Read one object."""
+    """Read one object of the platform's object API."""
 
     call: ids.CallId
     key: objects.ObjectKey
 
 
 class WriteObject(part.Action, frozen=True):
-    """Write one object if its version is still the expected one.
+    """Write one object if its version is the expected one.
 
     Attributes:
-        expected: Version the object must have, 0 for none.
-        value: New value; empty to delete.
+        expected: Version that the object must have, 0 if it must not exist.
+        value: New value; empty to delete the object.
     """
 
     call: ids.CallId
@@ -120,7 +120,8 @@
     """Read the platform's list of live and leaving instances.
 
     Attributes:
-        since: Revision that is known; an unchanged list is not sent.
+        since: Known revision; if it is still current, the platform does
+            not send the list.
     """
 
     call: ids.CallId
@@ -139,11 +140,11 @@
 
 
 class OrderKind(enum.Enum):
-    """What an engine is told to do."""
+    """Operation that an engine has to carry out."""
 
     FORM = "form"
     RELEASE = "release"
-    # Load the adapters named, in the generation that runs.
+    # Load the named adapters into the running generation.
     LOAD = "load"
 
 
@@ -151,8 +152,9 @@
     """An order to one engine instance.
 
     Attributes:
-        epoch: Fencing number; a checking engine refuses an older one.
-        lifetime: Seconds after which the order must not be obeyed.
+        epoch: Fencing number; an engine that checks it refuses an older
+            one than it has seen.
+        lifetime: Seconds after which the engine must ignore the order.
     """
 
     kind: OrderKind
@@ -168,11 +170,11 @@
 
 
 class SendOrder(part.Action, frozen=True):
-    """Send an order, unless its deadline has passed at the send.
+    """Send an order, unless its deadline has passed by then.
 
     Attributes:
-        deadline: Monotonic time of this process after which the lease
-            may be another's, so that the order must not leave.
+        deadline: Monotonic time of this process after which another node
+            may hold the lease, so that the order must not be sent.
     """
 
     instance: ids.InstanceId
@@ -181,7 +183,7 @@
     deadline: float
 
 
-# -- To whoever asked or watches
+# -- To the process, its callers and its operators
 
 
 class Leave(part.Action, frozen=True):
@@ -191,14 +193,14 @@
 
 
 class Reply(part.Action, frozen=True):
-    """Answer a request that waits in this process."""
+    """Answer a request that is waiting in this process."""
 
     ticket: int
     answer: typing.Any
 
 
 class Record(part.Action, frozen=True):
-    """Put an event on the time line and log the change of state."""
+    """Add an event to the timeline and log it."""
 
     kind: timeline.EventKind
     subject: str = ""
@@ -206,7 +208,7 @@
 
 
 class Count(part.Action, frozen=True):
-    """Raise a counter."""
+    """Increment a counter."""
 
     counter: Counter
     label: str = ""
--- a/currantwall/coordination/calls.py
+++ b/currantwall/coordination/calls.py
@@ -1,4 +1,4 @@
-"""Numbers for calls whose answers come later."""
+"""Ids of asynchronous calls, and the backoff between attempts."""
 
 from currantwall.state import ids
 
@@ -8,23 +8,23 @@
 
 
 class Calls:
-    """Hands out call numbers that are unique in this process."""
+    """Issues call ids that are unique in this process."""
 
     def __init__(self) -> None:
         self._last = 0
 
     def next(self) -> ids.CallId:
-        """Return a number not used before."""
+        """Return an id that was not issued before."""
         self._last += 1
         return ids.CallId(self._last)
 
 
 class Backoff:
-    """Growing waits between tries, with a jitter fixed by a seed.
+    """Exponential backoff with a jitter derived from a seed.
 
-    Failure: the platform returns and every process calls at once, which
-    takes it down again. The seeds differ from process to process, so
-    their tries spread over the wait.
+    If all processes called the platform at once when it recovers, they
+    would overload it again. Their seeds differ, so that their attempts
+    spread over the delay.
     """
 
     def __init__(self, first: float, limit: float, seed: int) -> None:
@@ -35,16 +35,16 @@
 
     @property
     def failures(self) -> int:
-        """Return the failures since the last success."""
+        """Return the number of failures since the last success."""
         return self._failures
 
     def fail(self) -> float:
-        """Return the seconds to wait after one more failure."""
+        """Count a failure; return the seconds to wait before the next try."""
         self._failures += 1
-        whole = min(self._limit, self._first * 2 ** (self._failures - 1))
+        longest = min(self._limit, self._first * 2 ** (self._failures - 1))
         step = (self._seed * 31 + self._failures * 7) % _JITTER_STEPS
-        return whole * (0.5 + step / (2 * _JITTER_STEPS))
+        return longest * (0.5 + step / (2 * _JITTER_STEPS))
 
     def succeed(self) -> None:
-        """Start again from the first wait."""
+        """Reset the backoff to its first delay."""
         self._failures = 0
--- a/currantwall/coordination/node.py
+++ b/currantwall/coordination/node.py
@@ -1,9 +1,9 @@
-"""All decisions of one entry process, wired together.
+"""All decisions of one entry process, connected with each other.
 
-`Node` takes messages from the transport and returns the actions for it.
-Messages that parts send each other are worked off inside. It is the
-whole of a process but for its sockets, so a session of several nodes can
-run in one test under a virtual clock.
+`Node` takes messages from the transport and returns actions for it.
+Messages between parts are handled inside. It contains everything of a
+process except I/O, so that a test can run several nodes under a virtual
+clock.
 """
 
 import collections
@@ -37,7 +37,7 @@
 
 
 class Node:
-    """The parts of one process and the messages between them."""
+    """The parts of one process, and the delivery of messages to them."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
             peer_address=settings.node.peer_address,
             incarnation=incarnation,
         )
-        numbers = calls.Calls()
+        call_ids = calls.Calls()
         self.settings = settings
         self.nodes = views.MembersView(me)
         self.view = views.ObjectsView()
@@ -69,21 +69,21 @@
             self.nodes,
             self.membership,
             settings.platform,
-            numbers,
+            call_ids,
         )
         self.edits = edits.Edits(
-            self.view, self.nodes, settings.peers, numbers
+            self.view, self.nodes, settings.peers, call_ids
         )
         self.observation = observation.Observation(
             self.view, self.nodes, settings.replicas
         )
         self.evidence = evidence.Evidence(self.view, settings.replicas)
         self.controllers = controllers.Controllers(
-            self.view, self.nodes, settings, numbers, policy
+            self.view, self.nodes, settings, call_ids, policy
         )
-        self.granting = granting.Granting(self.view, self.nodes, numbers)
+        self.granting = granting.Granting(self.view, self.nodes, call_ids)
         self.homes = homes.Homes(
-            self.nodes, settings.requests, numbers, started
+            self.nodes, settings.requests, call_ids, started
         )
         self.router = routing.Router(
             self.view, self.nodes, self.evidence, settings
@@ -107,69 +107,69 @@
             self.broadcast,
         )
         self._subscribers: dict[type, list[part.Part]] = {}
-        for one in self._parts:
-            for topic in one.handlers:
-                self._subscribers.setdefault(topic, []).append(one)
+        for subscriber in self._parts:
+            for topic in subscriber.handlers:
+                self._subscribers.setdefault(topic, []).append(subscriber)
 
     @property
     def is_ready(self) -> bool:
-        """Return whether the node may be given requests."""
+        """Return whether requests may be sent to the node."""
         return self.configuration.is_ready
 
     def due(self) -> float | None:
-        """Return when the next `part.Tick` is wanted."""
-        times = [one.due() for one in self._parts]
-        return min((at for at in times if at is not None), default=None)
+        """Return the time of the next `part.Tick` that any part needs."""
+        times = [item.due() for item in self._parts]
+        return min((time for time in times if time is not None), default=None)
 
     def handle(self, message: part.Message, now: float) -> list[part.Action]:
-        """Return what the transport has to do about a message."""
+        """Handle a message and return the actions for the transport."""
         queue = collections.deque([message])
-        outward: list[part.Action] = []
+        outgoing: list[part.Action] = []
         while queue:
             current = queue.popleft()
-            for one in self._subscribers.get(current.topic, ()):
-                found = one.handle(current, now)
-                self._sort(found, queue, outward, now)
-        return outward
+            for subscriber in self._subscribers.get(current.topic, ()):
+                resulting = subscriber.handle(current, now)
+                self._dispatch(resulting, queue, outgoing, now)
+        return outgoing
 
     def receive(
         self, envelope: wire.Envelope, now: float
     ) -> list[part.Action]:
-        """Return what to do about an envelope from another node."""
-        message, found = self.links.open(envelope, now)
+        """Handle an envelope and return the actions for the transport."""
+        message, outgoing = self.links.open(envelope, now)
         if message is not None:
-            found += self.handle(message, now)
-        return found
+            outgoing += self.handle(message, now)
+        return outgoing
 
     def leave(self, now: float) -> list[part.Action]:
-        """Begin a graceful stop: announce it, give the leases back."""
-        found = self.membership.leave() + self.controllers.leave(now)
-        outward: list[part.Action] = []
+        """Begin a graceful stop: announce it and release the leases."""
+        resulting = self.membership.leave() + self.controllers.leave(now)
+        outgoing: list[part.Action] = []
         queue: collections.deque[part.Message] = collections.deque()
-        self._sort(found, queue, outward, now)
+        self._dispatch(resulting, queue, outgoing, now)
         while queue:
-            outward += self.handle(queue.popleft(), now)
-        return outward
+            outgoing += self.handle(queue.popleft(), now)
+        return outgoing
 
-    def _sort(
+    def _dispatch(
         self,
-        found: list[part.Action],
+        resulting: list[part.Action],
         queue: collections.deque[part.Message],
-        outward: list[part.Action],
+        outgoing: list[part.Action],
         now: float,
     ) -> None:
-        """Part actions for this process from those for the transport."""
-        for action in found:
+        """Queue messages for this process and collect all other actions."""
+        for action in resulting:
             if isinstance(action, actions.Tell):
                 queue.append(action.message)
             elif isinstance(action, actions.Publish):
-                sent = self.broadcast.publish(action, now)
-                self._sort(sent, queue, outward, now)
-            elif isinstance(action, actions.Send) and self._is_me(action):
+                sends = self.broadcast.publish(action, now)
+                self._dispatch(sends, queue, outgoing, now)
+            elif isinstance(action, actions.Send) and self._is_to_me(action):
                 me = self.nodes.me.id
                 queue.append(messages.Received(me, action.body))
             else:
-                outward.append(action)
+                outgoing.append(action)
 
-    def _is_me(self, action: actions.Send) -> bool:
+    def _is_to_me(self, action: actions.Send) -> bool:
         return action.to == self.nodes.me.id
--- a/currantwall/coordination/part.py
+++ b/currantwall/coordination/part.py
@@ -1,10 +1,10 @@
-"""The shape that every decision has.
+"""Base of the parts, the deterministic state machines of a node.
 
-A part takes a typed message and the time and returns typed actions. It
-says when it next wants a `Tick`. Which method takes which message is a
-registry that the `handles` decorator fills.
+A part handles a typed message at a given time and returns typed actions.
+It also tells when it next needs a `Tick`. The `handles` decorator
+registers the method for each type of message.
 
-Times are seconds of one monotonic clock of the process.
+Times are in seconds of the process's monotonic clock.
 """
 
 from collections import abc
@@ -16,11 +16,11 @@
 
 
 class Action(msgspec.Struct, frozen=True):
-    """Something the transport or another part shall do."""
+    """Something that the transport or another part has to do."""
 
 
 class Message(msgspec.Struct, frozen=True):
-    """Something that happened, told to the parts."""
+    """Something that happened, delivered to the parts."""
 
     @property
     def topic(self) -> type:
@@ -29,48 +29,48 @@
 
 
 class Tick(Message, frozen=True):
-    """The time that a part asked for has come."""
+    """A time that a part asked for, by `Part.due`, has come."""
 
 
 Handler = typing.Callable[..., abc.Iterable[Action] | None]
-_MARK = "_handled_type"
+_HANDLED_TYPE = "_handled_type"
 
 
 def handles(kind: type) -> abc.Callable[[Handler], Handler]:
     """Register a method of a part for one type of message or body."""
 
-    def mark(function: Handler) -> Handler:
-        setattr(function, _MARK, kind)
+    def register(function: Handler) -> Handler:
+        setattr(function, _HANDLED_TYPE, kind)
         return function
 
-    return mark
+    return register
 
 
 class Part:
-    """Base of all parts.
+    """Base class of all parts.
 
-    A subclass marks methods with `handles` and overrides `due` when it
-    wants to be told the time.
+    A subclass decorates its methods with `handles`, and overrides `due`
+    if it needs ticks.
     """
 
     handlers: typing.ClassVar[dict[type, str]] = {}
 
     def __init_subclass__(cls, **kwargs: typing.Any) -> None:
         super().__init_subclass__(**kwargs)
-        found = dict(cls.handlers)
+        handlers = dict(cls.handlers)
         for name, member in vars(cls).items():
-            kind = getattr(member, _MARK, None)
+            kind = getattr(member, _HANDLED_TYPE, None)
             if kind is not None:
-                found[kind] = name
-        cls.handlers = found
+                handlers[kind] = name
+        cls.handlers = handlers
 
     def handle(self, message: Message, now: float) -> list[Action]:
-        """Return what is to be done about a message."""
+        """Handle a message and return the resulting actions."""
         name = self.handlers.get(message.topic)
         if name is None:
             return []
         return list(getattr(self, name)(message, now) or ())
 
     def due(self) -> float | None:
-        """Return when the next tick is wanted, None for never."""
+        """Return the time of the next tick needed, None for none."""
         return None
--- a/currantwall/coordination/wire.py
+++ b/currantwall/coordination/wire.py
@@ -1,8 +1,8 @@
-"""What entry nodes tell each other.
+"""Messages between entry nodes.
 
-Bodies go from one node to another. Payloads travel inside a `Bundle` to
-all nodes, by way of the relays of each data centre. All of it is soft
-state: any message may be lost, late, doubled or out of order.
+Bodies go from one node to another. Payloads are broadcast to all nodes
+inside a `Bundle`, through the relays of each data centre. All of it is
+soft state: any message may be lost, delayed, duplicated or reordered.
 """
 
 import enum
@@ -48,18 +48,18 @@
 
 
 class Verdict(enum.Enum):
-    """What an observer says of a replica or a service instance."""
+    """Verdict of an observer on a replica or a service instance."""
 
-    # Every member answered and reports this replica and generation.
+    # Every member answered and reported this replica and generation.
     WHOLE = "whole"
-    # A member refused the connection or reports something else.
+    # A member refused the connection or reported another one.
     BROKEN = "broken"
-    # A member did not answer in time; it or the link may be at fault.
+    # A member did not answer in time; it or the link may have failed.
     SILENT = "silent"
 
 
 class Scope(enum.Enum):
-    """How far a bundle still has to go."""
+    """Hop of a bundle on its way to all nodes."""
 
     UP = "up"
     ACROSS = "across"
@@ -80,12 +80,12 @@
 
     Attributes:
         subject: Replica id, or instance id of a plain service.
-        age: Seconds since the oldest probe it rests on was sent.
-        serial: Placement serial of the ledger the observer knows; a node
-            that knows an older one must not judge by it.
-        running: Requests in the leader, as last reported.
-        cache_version: Changes when what is believed of the leader's
-            prompt cache no longer holds.
+        age: Seconds since the oldest probe behind it was sent.
+        serial: Serial of the domain's ledger that the observer knows; a
+            node that knows an older one must not use the verdict.
+        running: Number of requests in the leader, as last reported.
+        cache_version: Changes when assumptions about the leader's prompt
+            cache have become invalid.
     """
 
     subject: str
@@ -101,7 +101,7 @@
 class Demand(
     msgspec.Struct, frozen=True, kw_only=True, tag="demand", omit_defaults=True
 ):
-    """Requests a second that one node sees of one organisation."""
+    """Requests per second that one node receives of one organisation."""
 
     profile: ids.ProfileName
     organisation: ids.OrganisationName
@@ -115,7 +115,7 @@
 
 
 class Successor(msgspec.Struct, frozen=True, tag="successor"):
-    """A node that answers for the keys of a home that has stopped."""
+    """A node that has taken over the keys of a stopped home."""
 
     home: keys.Home
     node: ids.NodeId
@@ -123,14 +123,14 @@
 
 
 class Reach(msgspec.Struct, frozen=True, tag="reach"):
-    """Whether a relay reaches another data centre."""
+    """Whether a relay can reach another data centre."""
 
     datacentre: ids.DatacentreName
     reachable: bool
 
 
 class MemberNews(msgspec.Struct, frozen=True, tag="news"):
-    """A verdict that must not wait for the pings to carry it."""
+    """A member's new state, too urgent to wait for the next pings."""
 
     member: members.Member
 
@@ -139,12 +139,12 @@
 
 
 class Item(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """One payload on its way.
+    """One payload of a bundle.
 
     Attributes:
-        serial: Counts the items of the origin; used to drop doubles.
-        age: Seconds since it left the origin, as far as its carriers
-            know: their residence times and excess link delays.
+        serial: Counts the items of the origin; used to drop duplicates.
+        age: Seconds since it left the origin, as measured on the way: the
+            sum of the residence times and the excess link delays.
     """
 
     origin: ids.NodeId
@@ -158,7 +158,7 @@
 
 
 class Ping(msgspec.Struct, frozen=True, tag="ping"):
-    """Are you alive? Carries news of members."""
+    """Asks whether a node is alive; carries news of members."""
 
     serial: int
     news: tuple[members.Member, ...] = ()
@@ -166,14 +166,14 @@
 
 
 class PingRequest(msgspec.Struct, frozen=True, tag="ping_request"):
-    """Ping this node for me, my own ping was not answered."""
+    """Asks for an indirect probe of a node that did not answer a ping."""
 
     serial: int
     target: ids.NodeId
 
 
 class Ack(msgspec.Struct, frozen=True, tag="ack"):
-    """Alive; answers a ping with the same serial."""
+    """Answers the ping with the same serial."""
 
     serial: int
     target: ids.NodeId
@@ -181,7 +181,7 @@
 
 
 class Exchange(msgspec.Struct, frozen=True, tag="exchange"):
-    """Digests of what the sender knows; differences are then repaired.
+    """Digests of the sender's state, compared for anti-entropy.
 
     Attributes:
         members: One digest for each bucket of nodes.
@@ -195,19 +195,19 @@
 
 
 class Table(msgspec.Struct, frozen=True, tag="table"):
-    """Members the sender knows, of some buckets."""
+    """The members in some buckets, as the sender knows them."""
 
     members: tuple[members.Member, ...]
 
 
 class Doubt(msgspec.Struct, frozen=True, tag="doubt"):
-    """Probe this node of your data centre now: it does not answer me."""
+    """Asks for a probe, at once, of a node in the receiver's data centre."""
 
     target: ids.NodeId
 
 
 class Known(msgspec.Struct, frozen=True, array_like=True):
-    """A version that the sender has, and the hash of what matters."""
+    """A version that the sender has, and its `objects.hash_material`."""
 
     key: objects.ObjectKey
     version: ids.Version
@@ -215,14 +215,14 @@
 
 
 class Summary(msgspec.Struct, frozen=True, tag="summary"):
-    """Versions of the objects the sender has in some buckets."""
+    """Versions of the objects in some buckets that the sender has."""
 
     buckets: tuple[int, ...]
     known: tuple[Known, ...]
 
 
 class Pull(msgspec.Struct, frozen=True, tag="pull"):
-    """Send me these objects."""
+    """Asks for some objects."""
 
     keys: tuple[objects.ObjectKey, ...]
 
@@ -231,7 +231,7 @@
     """Objects that the receiver lacks or has asked for.
 
     Attributes:
-        confirm: Whether the receiver shall answer with `Applied`.
+        confirm: Whether the receiver has to answer with `Applied`.
     """
 
     stored: tuple[objects.Stored, ...]
@@ -246,12 +246,12 @@
 
 
 class Sighting(msgspec.Struct, frozen=True, kw_only=True, tag="sighting"):
-    """What an observer saw of one instance, for the domain's holder.
+    """Result of a probe of one instance, for the holder of its domain.
 
     Attributes:
-        report: The instance's own report; None when it gave none.
+        report: The instance's own report, None if it gave none.
         refused: Whether the connection was refused, which shows that
-            the process is gone, not only the link.
+            the process has ended and not merely the link failed.
         age: Seconds since the probe was sent.
     """
 
@@ -262,11 +262,11 @@
 
 
 class KeyState(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What a home knows of one key, on its way to a successor.
+    """State of one key, handed over by its home to a successor.
 
     Attributes:
         name: Hash of the key and its scope.
-        status: HTTP status of the answer; 0 when there is none to give.
+        status: HTTP status of the answer, 0 if there is none.
     """
 
     name: str
@@ -277,7 +277,7 @@
 
 
 class HandOver(msgspec.Struct, frozen=True, tag="hand_over"):
-    """One part of the keys of a home that is about to end."""
+    """One of several messages with the keys of a home that is stopping."""
 
     home: keys.Home
     number: int
@@ -286,13 +286,13 @@
 
 
 class HandOverTaken(msgspec.Struct, frozen=True, tag="taken"):
-    """The sender has stored that part."""
+    """Confirms that the sender has stored one `HandOver`."""
 
     number: int
 
 
 class Bundle(msgspec.Struct, frozen=True, tag="bundle"):
-    """Payloads on their way to all nodes."""
+    """Payloads that are broadcast to all nodes."""
 
     scope: Scope
     items: tuple[Item, ...]
@@ -320,9 +320,11 @@
     """One message between two nodes.
 
     Attributes:
-        incarnation: The sender's; messages of an older one are dropped.
-        to_incarnation: The receiver's as the sender knows it, 0 if not.
-        sent: Sender's monotonic clock at the send, in seconds.
+        incarnation: Incarnation of the sender; messages of an older one
+            are dropped.
+        to_incarnation: Incarnation of the receiver as the sender knows it,
+            0 if it does not.
+        sent: Monotonic clock of the sender at the send, in seconds.
         wall, count: The sender's hybrid logical time.
     """
 
