--- a/tests/faults.py
+++ b/tests/faults.py
@@ -1,4 +1,4 @@
-"""Faults that the state machines share."""
+"""Faults of hosts, shared by the stateful tests."""
 
 from hypothesis import strategies as st
 
--- a/tests/invariants.py
+++ b/tests/invariants.py
@@ -1,4 +1,4 @@
-"""What must always hold, checked against the fakes' own truth."""
+"""Invariants, checked against the true state of the simulated world."""
 
 import unittest
 
@@ -11,13 +11,17 @@
 
 __all__ = ["GRACE", "Watcher"]
 
-# A replica that lost a member gets no new request after so long.
+# Seconds after which a replica that lost a member gets no new request.
 GRACE = 2.0
-_SAMPLE = 0.1
+_SAMPLE_INTERVAL = 0.1  # seconds
 
 
 class Watcher:
-    """Watches one world and fails the test when a promise breaks."""
+    """Watches one world and fails the test if an invariant is violated.
+
+    Attributes:
+        routed: Number of routes that were checked.
+    """
 
     def __init__(
         self, test: unittest.TestCase, world: virtual.World, profile: str
@@ -29,27 +33,27 @@
         self._granted = 0
         self.routed = 0
         world.on_stored.append(self._check_stored)
-        world.after(_SAMPLE, self._sample)
+        world.after(_SAMPLE_INTERVAL, self._sample)
 
     # -- The stored objects
 
     def read_domains(self) -> list[domain.Domain]:
-        """Return the ledgers as stored."""
+        """Return the ledgers of all domains, as stored."""
         store = self._world.platform.store
         kinds = {objects.Kind.DOMAINS.value}
-        return [objects.decode(one) for one in store.select(kinds)]
+        return [objects.decode(stored) for stored in store.select(kinds)]
 
     def _check_stored(self, stored: objects.Stored) -> None:
         kinds = (objects.Kind.DOMAINS.value, objects.Kind.GRANTS.value)
         if stored.key.kind not in kinds:
             return
         ledgers = self.read_domains()
-        owned: list[str] = []
-        for held in ledgers:
-            for replica in held.replicas:
-                owned += replica.members
+        members: list[str] = []
+        for ledger in ledgers:
+            for replica in ledger.replicas:
+                members += replica.members
         self._test.assertEqual(
-            len(owned), len(set(owned)), "an instance is in two replicas"
+            len(members), len(set(members)), "an instance is in two replicas"
         )
         self._check_grants(ledgers)
 
@@ -60,17 +64,19 @@
         stored = store.get(key)
         granted = objects.decode(stored) if stored else None
         total = granted.total if granted else 0
-        for held in ledgers:
-            share = granted.get(held.name).granted if granted else 0
+        for ledger in ledgers:
+            share = granted.get(ledger.name).granted if granted else 0
             self._test.assertLessEqual(
-                held.count_accelerators(name),
+                ledger.count_accelerators(name),
                 share,
-                f"{held.name} holds more than is granted",
+                f"{ledger.name} holds more than is granted",
             )
-        wanted = store.get(
+        stored_profile = store.get(
             objects.ObjectKey(objects.Kind.PROFILES.value, name)
         )
-        capacity = objects.decode(wanted).capacity if wanted else 0
+        capacity = (
+            objects.decode(stored_profile).capacity if stored_profile else 0
+        )
         if total > self._granted:
             self._test.assertLessEqual(
                 total, capacity, "more is granted than the capacity"
@@ -81,20 +87,20 @@
 
     def _sample(self) -> None:
         now = self._world.now
-        for held in self.read_domains():
-            for replica in held.replicas:
+        for ledger in self.read_domains():
+            for replica in ledger.replicas:
                 if self._is_whole(replica):
                     key = (replica.id, replica.generation)
                     self._last_whole[key] = now
         for host in self._world.hosts.values():
             if host.alive and not host.paused:
                 self._check_route(host, now)
-        self._world.after(_SAMPLE, self._sample)
+        self._world.after(_SAMPLE_INTERVAL, self._sample)
 
     def _is_whole(self, replica: domain.Replica) -> bool:
         now = self._world.now
-        for name in replica.members:
-            engine = self._world.engines[name]
+        for member in replica.members:
+            engine = self._world.engines[member]
             if not engine.alive or engine.paused:
                 return False
             report = engine.model.report(now)
@@ -113,9 +119,9 @@
             return
         self.routed += 1
         key = (answer.subject, answer.generation)
-        since = now - self._last_whole.get(key, -1.0)
+        elapsed = now - self._last_whole.get(key, -1.0)
         self._test.assertLessEqual(
-            since,
-            GRACE + _SAMPLE,
-            f"{host.name} uses {key}, not whole for {since:.2f} s",
+            elapsed,
+            GRACE + _SAMPLE_INTERVAL,
+            f"{host.name} uses {key}, not whole for {elapsed:.2f} s",
         )
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""What a gateway process loads, and what is installed for it."""
+"""Tests of what a gateway process imports and what is installed for it."""
 
 import pathlib
 import subprocess
@@ -6,9 +6,9 @@
 import unittest
 
 _ROOT = pathlib.Path(__file__).parent.parent
-# Modules of the decisions that a gateway may load.
-_MODULES = 26
-_LIST = (
+# Maximum number of modules of currantwall.coordination in a gateway.
+_MODULE_LIMIT = 26
+_LIST_MODULES = (
     "import sys; import currantwall.gateway;"
     "print(*sorted(sys.modules), sep='\\n')"
 )
@@ -20,12 +20,12 @@
 
 
 class ImportTest(unittest.TestCase):
-    """A node's memory is paid for by the second."""
+    """Every module that a node loads costs memory, which is billed."""
 
     @classmethod
     def setUpClass(cls):
         run = subprocess.run(
-            [sys.executable, "-W", "ignore", "-c", _LIST],
+            [sys.executable, "-W", "ignore", "-c", _LIST_MODULES],
             capture_output=True,
             text=True,
             check=True,
@@ -33,29 +33,30 @@
         )
         cls.modules = run.stdout.split()
 
-    def test_a_gateway_loads_only_the_decisions_that_it_runs(self):
-        """Every node held 30 modules that only an entry runs.
+    def test_gateway_loads_only_the_decisions_that_it_runs(self):
+        """Guards against loading 30 modules that only an entry runs.
 
-        One method of the metrics, which the entry's node uses, brought
-        them all.
+        They came in through one method of the metrics, which only an
+        entry uses.
         """
         prefix = "currantwall.coordination."
-        found = [one for one in self.modules if one.startswith(prefix)]
-        self.assertLessEqual(len(found), _MODULES)
+        found = [name for name in self.modules if name.startswith(prefix)]
+        self.assertLessEqual(len(found), _MODULE_LIMIT)
         self.assertNotIn("currantwall.coordination.node", found)
 
-    def test_what_is_installed_for_a_node_has_the_same_versions(self):
+    def test_node_requirements_have_the_same_versions(self):
         node = read_pins("requirements-node.txt")
         self.assertLess(node, read_pins("requirements.txt"))
 
-    def test_what_only_the_tool_needs_is_not_installed_for_a_node(self):
-        """The log library loads a package that draws tables, if it is there.
+    def test_requirements_of_the_tool_are_not_installed_for_a_node(self):
+        """Guards against 4 MB of unused memory per process.
 
-        It came with the command line's library and took 4 MB a process.
+        structlog imports rich if it is installed, and rich is installed
+        together with typer, the library of the command line.
         """
         names = {
-            one.partition("==")[0]
-            for one in read_pins("requirements-node.txt")
+            pin.partition("==")[0]
+            for pin in read_pins("requirements-node.txt")
         }
         self.assertTrue(names.isdisjoint({"typer", "rich", "pydantic"}))
 
--- a/tests/test_purity.py
+++ b/tests/test_purity.py
@@ -1,4 +1,4 @@
-"""The decisions must be importable and usable without any I/O library."""
+"""Tests that the decisions can be imported without any I/O library."""
 
 import pathlib
 import subprocess
@@ -29,8 +29,8 @@
 
 class PurityTest(unittest.TestCase):
     def test_decisions_import_without_io(self) -> None:
-        # A bench that drives the decisions by itself has no sockets. An
-        # import of one anywhere below coordination would break it.
+        # Guards against an import of sockets anywhere in coordination or
+        # state: a benchmark that drives the decisions itself has none.
         done = subprocess.run(
             [sys.executable, "-c", _SCRIPT],
             capture_output=True,
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings and profiles: what is read, and what bad input is told."""
+"""Tests of how settings and profiles are read and errors reported."""
 
 import pathlib
 import unittest
@@ -9,7 +9,7 @@
 from currantwall.state import settings
 
 _EXAMPLES = pathlib.Path(__file__).parent.parent / "examples"
-_GOOD = """
+_VALID = """
 [node]
 id = a
 datacentre = d
@@ -22,62 +22,64 @@
 """
 
 
-def _fail(text: str) -> str:
+def _get_error(text: str) -> str:
     outcome = settings.parse_settings(text, "entry.ini")
     assert isinstance(outcome, result.Err), outcome
     return str(outcome.err_value)
 
 
 class SettingsTest(unittest.TestCase):
-    def test_examples_are_good(self) -> None:
+    def test_examples_are_valid(self) -> None:
         for path in sorted(_EXAMPLES.rglob("entry.ini")):
             outcome = settings.parse_settings(path.read_text(), str(path))
             self.assertIsInstance(outcome, result.Ok, outcome)
 
     def test_error_names_file_section_and_key(self) -> None:
         cases = {
-            _GOOD.replace("127.0.0.1:1", "nowhere"): (
+            _VALID.replace("127.0.0.1:1", "nowhere"): (
                 "entry.ini: [node] address: expected HOST:PORT, got 'nowhere'"
             ),
-            _GOOD.replace("id = a", "idd = a"): (
+            _VALID.replace("id = a", "idd = a"): (
                 "entry.ini: [node] idd: unknown key; expected one of"
             ),
-            _GOOD.replace("[peers]\nkey = k", ""): (
+            _VALID.replace("[peers]\nkey = k", ""): (
                 "entry.ini: [peers]: this section is missing"
             ),
-            _GOOD.replace("key = k", ""): (
+            _VALID.replace("key = k", ""): (
                 "entry.ini: [peers] key: this key is missing"
             ),
-            _GOOD + "[replica]\n": "entry.ini: [replica]: unknown section",
-            _GOOD + "[service x]\nidempotent = perhaps\n": (
+            _VALID + "[replica]\n": "entry.ini: [replica]: unknown section",
+            _VALID + "[service x]\nidempotent = perhaps\n": (
                 "entry.ini: [service x] idempotent: expected yes or no,"
                 " got 'perhaps'"
             ),
-            _GOOD + "[replicas]\nlease_ttl = soon\n": (
+            _VALID + "[replicas]\nlease_ttl = soon\n": (
                 "entry.ini: [replicas] lease_ttl: expected a number,"
             ),
-            _GOOD + "[replicas]\norder_lifetime = 2\n": (
+            _VALID + "[replicas]\norder_lifetime = 2\n": (
                 "entry.ini: [replicas] order_lifetime:"
                 " expected less than lease_margin"
             ),
             "id = a": "entry.ini: ",
         }
-        for text, wanted in cases.items():
-            with self.subTest(wanted):
-                self.assertTrue(_fail(text).startswith(wanted), _fail(text))
+        for text, expected in cases.items():
+            with self.subTest(expected):
+                self.assertTrue(
+                    _get_error(text).startswith(expected), _get_error(text)
+                )
 
 
 class ProfileTest(unittest.TestCase):
-    def test_text_and_value_go_both_ways(self) -> None:
+    def test_formatted_profile_parses_to_the_same_value(self) -> None:
         for path in sorted(_EXAMPLES.rglob("profiles.ini")):
             first = profile.parse_profiles(path.read_text(), str(path))
             self.assertIsInstance(first, result.Ok, first)
-            for one in first.ok_value:
-                text = profile.format_profile(one)
+            for parsed in first.ok_value:
+                text = profile.format_profile(parsed)
                 again = profile.parse_profiles(text, "again")
-                self.assertEqual([one], again.ok_value)
+                self.assertEqual([parsed], again.ok_value)
 
-    def test_bad_profiles_are_refused_by_name(self) -> None:
+    def test_error_names_file_section_and_key(self) -> None:
         cases = {
             "[counter]\nmodel = m\n": "p.ini: [counter]: expected sections",
             "[profile c]\nreplicas = 1\n": "p.ini: [profile c] model: this",
@@ -90,9 +92,9 @@
             "[profile a/b]\nmodel = m\n": "p.ini: [profile a/b]: expected a",
             "": "p.ini: expected at least one section",
         }
-        for text, wanted in cases.items():
-            with self.subTest(wanted):
+        for text, expected in cases.items():
+            with self.subTest(expected):
                 outcome = profile.parse_profiles(text, "p.ini")
                 self.assertIsInstance(outcome, result.Err)
                 message = str(outcome.err_value)
-                self.assertTrue(message.startswith(wanted), message)
+                self.assertTrue(message.startswith(expected), message)
