--- a/currantwall/coordination/wire.py
+++ b/currantwall/coordination/wire.py
@@ -61,8 +61,11 @@
 class Scope(enum.Enum):
     """Hop of a bundle on its way to all nodes."""
 
+    # To a relay of the sender's data centre.
     UP = "up"
+    # From that relay to the relays of other data centres.
     ACROSS = "across"
+    # From a relay to the nodes of its data centre.
     DOWN = "down"
 
 
