--- a/currantwall/coordination/wire.py
+++ b/currantwall/coordination/wire.py
@@ -52,7 +52,7 @@
 
     # Every member answered and reported this replica and generation.
     WHOLE = "whole"
-    # A member refused the connection or reported another one.
+    # A member refused the connection or reported something else.
     BROKEN = "broken"
     # A member did not answer in time; it or the link may have failed.
     SILENT = "silent"
--- a/currantwall/state/timeline.py
+++ b/currantwall/state/timeline.py
@@ -1,8 +1,9 @@
 """Timeline of events: a hybrid logical clock and a ring buffer.
 
-Each process keeps its last events. A stamp is never earlier than one that
-was received in a message, so that the merged events of several processes
-are ordered with every cause before its effects.
+Each process keeps its last events. A stamp consists of the wall clock and a
+counter, and is later than every stamp received in a message before. Merged
+events of several processes are therefore ordered with every cause before
+its effects.
 """
 
 import collections
--- a/currantwall/state/upstreams.py
+++ b/currantwall/state/upstreams.py
@@ -158,7 +158,7 @@
         parsed = parse_replica_id(name)
         if parsed is None:
             continue
-        members.sort(key=lambda one: one.seat.rank if one.seat else 0)
+        members.sort(key=lambda item: item.seat.rank if item.seat else 0)
         replicas.append(
             Replica(
                 id=ids.ReplicaId(name),
