--- a/currantwall/coordination/peers/presence.py
+++ b/currantwall/coordination/peers/presence.py
@@ -128,9 +128,9 @@
         configuration: Version in force, 0 for none.
         loads: Requests in flight from this node, by upstream.
         stalled: Upstreams that recently stopped responding to the node.
-        lost: Leaders, by `Upstream.life`, whose replica the node recently
+        lost: Leaders, by `Upstream.epoch_id`, whose replica the node recently
             found to lack a member.
-        slow: Leaders, by `Upstream.life`, whose replica a member slows
+        slow: Leaders, by `Upstream.epoch_id`, whose replica a member slows
             down.
         instances: Revision of the list of instances, 0 for none.
         leases: The leases that the node holds, by domain.
