--- a/currantwall/coordination/profiles/edits.py
+++ b/currantwall/coordination/profiles/edits.py
@@ -273,7 +273,7 @@
         next_actions: list[part.Action] = []
         for node in sorted(edit.unacknowledged):
             next_actions.append(actions.Send(node, push))
-            next_actions.append(actions.Tell(messages.Doubted(node)))
+            next_actions.append(actions.Tell(messages.ProbeRequested(node)))
         return next_actions
 
     def _finish(self, edit: _Edit, outcome: EditOutcome) -> list[part.Action]:
