--- a/currantwall/transport/callers.py
+++ b/currantwall/transport/callers.py
@@ -23,21 +23,21 @@
 
 __all__ = [
     "CALLER_LEFT",
+    "CallContext",
     "Callers",
     "EntryHandlers",
-    "Wish",
-    "make_refused",
-    "name_outcome",
-    "pass_headers",
-    "say_unknown",
+    "choose_outcome",
+    "get_forwarded_headers",
+    "make_refused_error",
+    "make_unknown_response",
 ]
 
 Response = http_protocol.Response
 _KIND_HEADER = "Currantwall-Kind"
 _DEADLINE_HEADER = "Currantwall-Deadline"
 # The queue answers by the deadline; this only guards against a bug.
-_QUEUE_SLACK = 1.0
-_PASSED_HEADERS = (
+_QUEUE_TIMEOUT_MARGIN = 1.0
+_FORWARDED_HEADERS = (
     "currantwall-kind",
     "content-type",
     "accept",
@@ -45,14 +45,14 @@
     "tracestate",
     "baggage",
 )
-_RETRY_LATER = 1.0
+_RETRY_AFTER = 1.0
 CALLER_LEFT = errors.CallError(
     errors.Step.BODY, "caller", errors.Failure.CLOSED
 )
 _ANONYMOUS = ids.OrganisationName("")
 
 
-class Wish(msgspec.Struct, frozen=True):
+class CallContext(msgspec.Struct, frozen=True):
     """Who asks, what the answer is worth, and until when.
 
     Attributes:
@@ -82,9 +82,12 @@
             requests.retry_share, requests.attempts
         )
         self._tokens = {
-            one.token: one.name for one in self._settings.organisations
+            section.token: section.name
+            for section in self._settings.organisations
+        }
+        self._kinds = {
+            section.name: section for section in self._settings.kinds
         }
-        self._kinds = {one.name: one for one in self._settings.kinds}
         self._attempts = itertools.count(1)
 
     # -- Who asks
@@ -104,9 +107,9 @@
             return http_protocol.fail(status, "unknown_caller", message)
         return name
 
-    def read_wish(
+    def read_context(
         self, request: server.Request, caller: ids.OrganisationName
-    ) -> Wish | Response:
+    ) -> CallContext | Response:
         """Return what a caller wants besides the answer itself."""
         name = request.headers.get(_KIND_HEADER.lower(), "")
         kind = self._kinds.get(name)
@@ -118,24 +121,24 @@
         seconds = self._settings.requests.timeout
         if kind is not None and kind.deadline:
             seconds = min(seconds, kind.deadline)
-        given = request.headers.get(_DEADLINE_HEADER.lower(), "")
-        if given:
+        text = request.headers.get(_DEADLINE_HEADER.lower(), "")
+        if text:
             try:
-                seconds = min(seconds, float(given))
+                seconds = min(seconds, float(text))
             except ValueError:
                 status = http.HTTPStatus.BAD_REQUEST
                 message = f"{_DEADLINE_HEADER}: expected seconds"
                 return http_protocol.fail(status, "bad_deadline", message)
         weight = kind.weight if kind else 1.0
-        return Wish(caller, weight, self._clock.now() + seconds)
+        return CallContext(caller, weight, self._clock.now() + seconds)
 
-    def ask_route(
+    def request_route(
         self,
         make: abc.Callable[[int], routing.RouteRequested],
         deadline: float,
     ) -> routing.Route | routing.Refusal:
         """Return a route, waiting in the queue up to the deadline."""
-        wait = max(0.0, deadline - self._clock.now()) + _QUEUE_SLACK
+        wait = max(0.0, deadline - self._clock.now()) + _QUEUE_TIMEOUT_MARGIN
         answer = self._core.ask(make, wait, admission.Cancelled)
         if answer is None:
             return routing.Refusal(
@@ -153,15 +156,15 @@
         if decision is retries.RetryDecision.RETRY:
             eventlet.sleep(retries.compute_backoff(failure.attempts))
             return None
-        unknown = failure.may_have_run and not failure.idempotent
-        if unknown:
-            return say_unknown(str(error))
+        is_unknown = failure.may_have_run and not failure.idempotent
+        if is_unknown:
+            return make_unknown_response(str(error))
         return http_protocol.fail(
             http.HTTPStatus.SERVICE_UNAVAILABLE,
             f"upstream_{decision.value}",
             str(error),
-            name_outcome(failure.may_have_run),
-            _RETRY_LATER,
+            choose_outcome(failure.may_have_run),
+            _RETRY_AFTER,
         )
 
     def end_attempt(
@@ -175,12 +178,12 @@
             kind = kinds.ABANDONED
         else:
             kind = kinds.FAILED
-        self.tell_end(route, kind)
+        self.report_end(route, kind)
         if error is not None and not error.may_have_run:
             failed = evidence.UpstreamFailed(route.subject, route.generation)
             self._core.tell(failed)
 
-    def tell_end(self, route: routing.Route, kind: routing.EndKind) -> None:
+    def report_end(self, route: routing.Route, kind: routing.EndKind) -> None:
         """Tell the node how an attempt ended."""
         self._core.tell(routing.AttemptEnded(route.attempt, kind))
 
@@ -212,23 +215,25 @@
     def list_entries(self, request: server.Request) -> Response:
         """Return the addresses that a caller should use."""
         node = self._core.node
-        home = node.nodes.me.datacentre
-        wanted = request.query.get("datacentre", home)
+        own = node.nodes.me.datacentre
+        wanted = request.query.get("datacentre", own)
         prefix = node.homes.make_prefix(self._clock.now())
-        chosen = node.entries.choose(ids.DatacentreName(wanted), prefix)
-        return http_protocol.make_json(chosen)
+        entries = node.entries.choose(ids.DatacentreName(wanted), prefix)
+        return http_protocol.make_json(entries)
 
 
-def pass_headers(request: server.Request) -> tuple[tuple[str, str], ...]:
+def get_forwarded_headers(
+    request: server.Request,
+) -> tuple[tuple[str, str], ...]:
     """Return the headers that are passed on to an upstream."""
     return tuple(
         (name, request.headers[name])
-        for name in _PASSED_HEADERS
+        for name in _FORWARDED_HEADERS
         if name in request.headers
     )
 
 
-def make_refused(peer: str, status: int) -> errors.CallError:
+def make_refused_error(peer: str, status: int) -> errors.CallError:
     """Return the error of an upstream that says it ran nothing."""
     return errors.CallError(
         errors.Step.CONNECT,
@@ -238,14 +243,14 @@
     )
 
 
-def name_outcome(doubt: bool) -> homes.Outcome:
+def choose_outcome(may_have_run: bool) -> homes.Outcome:
     """Return what may be said of a request that failed."""
-    if doubt:
+    if may_have_run:
         return homes.Outcome.UNKNOWN
     return homes.Outcome.NOT_RUN
 
 
-def say_unknown(detail: str) -> Response:
+def make_unknown_response(detail: str) -> Response:
     """Return the response for a call that may have run."""
     return http_protocol.fail(
         http.HTTPStatus.BAD_GATEWAY,
--- a/currantwall/transport/chats.py
+++ b/currantwall/transport/chats.py
@@ -25,11 +25,11 @@
 
 Response = http_protocol.Response
 _CHAT_PATH = "/v1/chat/completions"
-_END_MARK = b"data: [DONE]"
+_DONE_EVENT = b"data: [DONE]"
 # Enough of a stream's end to find the mark in, however it was split.
-_TAIL_BYTES = 64
+_TAIL_SIZE = 64
 _PRIORITY_HEADER = "Currantwall-Priority"
-_PREFIX_BYTES = 1024
+_PREFIX_SIZE = 1024
 _BUSY_STATUSES = (
     http.HTTPStatus.TOO_MANY_REQUESTS,
     http.HTTPStatus.SERVICE_UNAVAILABLE,
@@ -80,31 +80,34 @@
             return http_protocol.fail(status, "bad_request", message)
         self._callers.earn_retry()
         self._callers.count_request("chat")
-        wish = self._callers.read_wish(request, caller)
-        if isinstance(wish, Response):
-            return wish
-        return self._answer_chat(request, chat, wish)
+        context = self._callers.read_context(request, caller)
+        if isinstance(context, Response):
+            return context
+        return self._answer_chat(request, chat, context)
 
     def _answer_chat(
-        self, request: server.Request, chat: _Chat, wish: callers.Wish
+        self,
+        request: server.Request,
+        chat: _Chat,
+        context: callers.CallContext,
     ) -> Response:
         excluded: tuple[str, ...] = ()
-        doubt = False
+        may_have_run = False
         for attempts in itertools.count(1):
-            opened = self._open_chat(request, chat, wish, excluded)
+            opened = self._open_chat(request, chat, context, excluded)
             if isinstance(opened, routing.Refusal):
-                return http_protocol.from_refusal(opened, doubt)
-            answer = self._take_chat(request, opened, chat, attempts)
+                return http_protocol.from_refusal(opened, may_have_run)
+            answer = self._handle_response(request, opened, chat, attempts)
             if isinstance(answer, Response):
                 return answer
             excluded = (*excluded, opened.route.subject)
-            doubt = doubt or answer.may_have_run
+            may_have_run = may_have_run or answer.may_have_run
             failure = retries.AttemptFailure(
                 attempts=attempts,
-                may_have_run=doubt,
+                may_have_run=may_have_run,
                 idempotent=True,
                 started=False,
-                deadline=wish.deadline,
+                deadline=context.deadline,
             )
             refused = self._callers.decide_retry(failure, answer)
             if refused is not None:
@@ -115,24 +118,24 @@
         self,
         request: server.Request,
         chat: _Chat,
-        wish: callers.Wish,
+        context: callers.CallContext,
         excluded: tuple[str, ...],
     ) -> _Attempt | routing.Refusal:
         attempt = self._callers.next_attempt()
         profile = ids.ProfileName(chat.model)
         prefix = _hash_prefix(chat)
-        answer = self._callers.ask_route(
+        answer = self._callers.request_route(
             lambda ticket: routing.RouteRequested(
                 ticket=ticket,
                 attempt=attempt,
                 profile=profile,
                 excluded=excluded,
-                organisation=wish.organisation,
-                weight=wish.weight,
-                deadline=wish.deadline,
+                organisation=context.organisation,
+                weight=context.weight,
+                deadline=context.deadline,
                 prefix=prefix,
             ),
-            wish.deadline,
+            context.deadline,
         )
         if isinstance(answer, routing.Refusal):
             return answer
@@ -142,15 +145,15 @@
             path=_CHAT_PATH,
             body=request.body,
             headers=(
-                *callers.pass_headers(request),
-                (_PRIORITY_HEADER, f"{wish.weight:g}"),
+                *callers.get_forwarded_headers(request),
+                (_PRIORITY_HEADER, f"{context.weight:g}"),
             ),
             timeout=requests.first_byte_timeout,
             connect_timeout=requests.connect_timeout,
         )
         return _Attempt(answer, self._calls.open(call))
 
-    def _take_chat(
+    def _handle_response(
         self,
         request: server.Request,
         opened: _Attempt,
@@ -164,13 +167,15 @@
         stream = opened.outcome.ok_value
         if stream.status in _BUSY_STATUSES:
             stream.close()
-            self._callers.tell_end(opened.route, routing.EndKind.BUSY)
-            return callers.make_refused(opened.route.address, stream.status)
+            self._callers.report_end(opened.route, routing.EndKind.BUSY)
+            return callers.make_refused_error(
+                opened.route.address, stream.status
+            )
         if chat.stream and stream.status == http.HTTPStatus.OK:
             return self._relay(request, opened.route, stream, attempts)
-        return self._collect(opened.route, stream, attempts)
+        return self._read_answer(opened.route, stream, attempts)
 
-    def _collect(
+    def _read_answer(
         self,
         route: routing.Route,
         stream: upstreams.Stream,
@@ -197,10 +202,10 @@
             *stream.headers,
             (http_protocol.ATTEMPTS_HEADER, str(attempts)),
         )
-        body = self._pass_stream(request, route, stream)
+        body = self._forward_stream(request, route, stream)
         return Response(stream.status, headers, body)
 
-    def _pass_stream(
+    def _forward_stream(
         self,
         request: server.Request,
         route: routing.Route,
@@ -221,7 +226,7 @@
             if stream.is_chunked and request.client and first:
                 failure = self._splice(request.client, route, stream)
             else:
-                failure = yield from _pass_chunks(route, chunks, first)
+                failure = yield from _forward_chunks(route, chunks, first)
         except upstreams.StreamCut as cut:
             failure = cut.error
             yield http_protocol.make_event("stream_cut", str(failure))
@@ -235,12 +240,14 @@
         route: routing.Route,
         stream: upstreams.Stream,
     ) -> errors.CallError | None:
-        upstream, ahead = stream.detach()
+        upstream, buffered = stream.detach()
         server.mark_handled()
-        failure = self._splicer.splice(upstream, client, ahead, route.address)
+        failure = self._splicer.splice(
+            upstream, client, buffered, route.address
+        )
         if failure is not None and splice.ends_at_boundary(failure):
             event = http_protocol.make_event("stream_cut", str(failure))
-            _send_last(client, b"%x\r\n%s\r\n0\r\n\r\n" % (len(event), event))
+            _send_end(client, b"%x\r\n%s\r\n0\r\n\r\n" % (len(event), event))
         return failure
 
 
@@ -251,18 +258,18 @@
     """
     if len(chat.messages) < 2:
         return 0
-    return xxhash.xxh3_64_intdigest(bytes(chat.messages[0])[:_PREFIX_BYTES])
+    return xxhash.xxh3_64_intdigest(bytes(chat.messages[0])[:_PREFIX_SIZE])
 
 
-def _pass_chunks(
+def _forward_chunks(
     route: routing.Route, chunks: abc.Iterator[bytes], first: bytes
 ) -> abc.Generator[bytes, None, errors.CallError | None]:
     """Yield the chunks of a stream; return what was wrong with it."""
-    tail = first[-_TAIL_BYTES:]
+    tail = first[-_TAIL_SIZE:]
     for chunk in chunks:
-        tail = (tail + chunk)[-_TAIL_BYTES:]
+        tail = (tail + chunk)[-_TAIL_SIZE:]
         yield chunk
-    if _END_MARK in tail:
+    if _DONE_EVENT in tail:
         return None
     failure = errors.CallError(
         errors.Step.BODY, route.address, errors.Failure.TRUNCATED
@@ -271,7 +278,7 @@
     return failure
 
 
-def _send_last(client: socket.socket, data: bytes) -> None:
+def _send_end(client: socket.socket, data: bytes) -> None:
     """Send the end of a stream to a caller that may have left."""
     try:
         client.send(data)
--- a/currantwall/transport/operators.py
+++ b/currantwall/transport/operators.py
@@ -126,7 +126,7 @@
     def show_profile(self, request: server.Request) -> Response:
         """Return one profile; version 0 when there is none."""
         return http_protocol.make_json(
-            self._view_profile(request.words["name"])
+            self._view_profile(request.path_params["name"])
         )
 
     @server.route("PUT", r"/v1/admin/profiles/(?P<name>[^/]+)")
@@ -226,7 +226,7 @@
             if isinstance(checked, Response):
                 return checked
             value = checked
-        key = objects.ObjectKey(kind.value, request.words["name"])
+        key = objects.ObjectKey(kind.value, request.path_params["name"])
         return self._store(key, value, ids.Version(int(expected)))
 
     def _store(
@@ -314,7 +314,7 @@
     request: server.Request, struct: type[msgspec.Struct]
 ) -> bytes | Response:
     """Return the stored form of a request's body, or the refusal."""
-    name = request.words["name"]
+    name = request.path_params["name"]
     status = http.HTTPStatus.BAD_REQUEST
     try:
         value = msgspec.json.decode(request.body, type=struct)
--- a/currantwall/transport/server.py
+++ b/currantwall/transport/server.py
@@ -27,10 +27,10 @@
     "route",
 ]
 
-_MARK = "_route"
+_ROUTE_ATTRIBUTE = "_route"
 _POOL_SIZE = 4096
-_URL_LIMIT = 8192
-_IDLE_SECONDS = 75
+_MAX_URL_SIZE = 8192
+_IDLE_TIMEOUT = 75
 Response = http_protocol.Response
 Handler = abc.Callable[..., Response]
 
@@ -47,7 +47,7 @@
     method: str
     path: str
     target: str
-    words: dict[str, str]
+    path_params: dict[str, str]
     query: dict[str, str]
     headers: dict[str, str]
     body: bytes
@@ -62,11 +62,11 @@
 def route(method: str, pattern: str) -> abc.Callable[[Handler], Handler]:
     """Register a method for requests whose path matches a pattern."""
 
-    def mark(function: Handler) -> Handler:
-        setattr(function, _MARK, _Route(method, pattern))
+    def register(function: Handler) -> Handler:
+        setattr(function, _ROUTE_ATTRIBUTE, _Route(method, pattern))
         return function
 
-    return mark
+    return register
 
 
 class Handlers:
@@ -75,10 +75,16 @@
     def routes(self) -> abc.Iterator[tuple[str, re.Pattern[str], Handler]]:
         """Yield method, pattern and handler of each marked method."""
         for name in dir(type(self)):
-            mark = getattr(getattr(type(self), name), _MARK, None)
-            if mark is not None:
+            registered = getattr(
+                getattr(type(self), name), _ROUTE_ATTRIBUTE, None
+            )
+            if registered is not None:
                 handler = getattr(self, name)
-                yield mark.method, re.compile(mark.pattern), handler
+                yield (
+                    registered.method,
+                    re.compile(registered.pattern),
+                    handler,
+                )
 
 
 class _QuietProtocol(eventlet.wsgi.HttpProtocol):
@@ -97,7 +103,9 @@
         handlers: abc.Sequence[Handlers],
         body_limit: int,
     ) -> None:
-        self._routes = [one for each in handlers for one in each.routes()]
+        self._routes = [
+            entry for group in handlers for entry in group.routes()
+        ]
         self._body_limit = body_limit
         self._socket = eventlet.listen(address, reuse_port=False)
         # Taken over by accepted connections: the first token of a stream
@@ -117,8 +125,8 @@
             protocol=_QuietProtocol,
             log_output=False,
             debug=False,
-            url_length_limit=_URL_LIMIT,
-            socket_timeout=_IDLE_SECONDS,
+            url_length_limit=_MAX_URL_SIZE,
+            socket_timeout=_IDLE_TIMEOUT,
             minimum_chunk_size=0,
         )
 
@@ -227,10 +235,10 @@
         self._open = False
         self._owner.in_flight -= 1
         if not isinstance(self._body, bytes):
-            getattr(self._body, "close", _do_nothing)()
+            getattr(self._body, "close", _ignore)()
 
 
-def _do_nothing() -> None:
+def _ignore() -> None:
     return
 
 
@@ -252,7 +260,7 @@
         method=environ["REQUEST_METHOD"],
         path=path,
         target=f"{path}?{query}" if query else path,
-        words=match.groupdict(),
+        path_params=match.groupdict(),
         query=dict(urllib.parse.parse_qsl(query)),
         headers=headers,
         body=body,
--- a/currantwall/transport/services.py
+++ b/currantwall/transport/services.py
@@ -26,11 +26,11 @@
 Response = http_protocol.Response
 # A caller that asks for its answer through another node waits this much
 # longer than the call itself may take.
-_FORWARD_SLACK = 2.0
-_RETRY_LATER = 1.0
+_FORWARD_TIMEOUT_MARGIN = 2.0
+_RETRY_AFTER = 1.0
 
 
-class _Dispatched(msgspec.Struct, frozen=True):
+class _CallResult(msgspec.Struct, frozen=True):
     """What came of running a call."""
 
     outcome: homes.Outcome
@@ -53,7 +53,9 @@
         self._calls = calls
         self._clock = clock
         self._settings = core.node.settings
-        self._services = {one.name: one for one in self._settings.services}
+        self._services = {
+            section.name: section for section in self._settings.services
+        }
 
     @server.route("POST", r"/v1/services/(?P<name>[^/]+)(?P<path>/.*)")
     def call_service(self, request: server.Request) -> Response:
@@ -61,7 +63,7 @@
         caller = self._callers.identify(request)
         if isinstance(caller, Response):
             return caller
-        name = ids.ServiceName(request.words["name"])
+        name = ids.ServiceName(request.path_params["name"])
         service = self._services.get(name)
         if service is None:
             status = http.HTTPStatus.NOT_FOUND
@@ -69,26 +71,26 @@
             return http_protocol.fail(status, "unknown_target", message)
         self._callers.count_request("service")
         self._callers.earn_retry()
-        wish = self._callers.read_wish(request, caller)
-        if isinstance(wish, Response):
-            return wish
+        context = self._callers.read_context(request, caller)
+        if isinstance(context, Response):
+            return context
         limit = self._clock.now() + service.timeout
-        wish = msgspec.structs.replace(
-            wish, deadline=min(wish.deadline, limit)
+        context = msgspec.structs.replace(
+            context, deadline=min(context.deadline, limit)
         )
         key = request.headers.get(http_protocol.KEY_HEADER.lower(), "")
         if service.idempotent or not key:
-            return self._dispatch(request, service, wish).response
-        return self._call_keyed(request, service, wish, ids.KeyText(key))
+            return self._dispatch(request, service, context).response
+        return self._call_keyed(request, service, context, ids.KeyText(key))
 
     def _call_keyed(
         self,
         request: server.Request,
         service: settings_module.ServiceSection,
-        wish: callers.Wish,
+        context: callers.CallContext,
         key: ids.KeyText,
     ) -> Response:
-        scope = f"{wish.organisation}/{service.name}"
+        scope = f"{context.organisation}/{service.name}"
         forwarded = http_protocol.FORWARDED_HEADER.lower()
         decision = self._core.ask(
             lambda ticket: homes.CallOffered(
@@ -103,67 +105,75 @@
             self._settings.requests.timeout,
         )
         if decision is None:
-            return _refuse_unbound()
+            return _make_unbound_response()
         if decision.kind is homes.DecisionKind.FORWARD:
             return self._forward(request, service, decision.home)
         if decision.kind is not homes.DecisionKind.DISPATCH:
             return http_protocol.from_decision(decision)
-        done = self._dispatch(request, service, wish)
-        self._core.tell(homes.CallEnded(key, scope, done.outcome, done.answer))
-        return done.response
+        call_result = self._dispatch(request, service, context)
+        self._core.tell(
+            homes.CallEnded(
+                key, scope, call_result.outcome, call_result.answer
+            )
+        )
+        return call_result.response
 
     def _dispatch(
         self,
         request: server.Request,
         service: settings_module.ServiceSection,
-        wish: callers.Wish,
-    ) -> _Dispatched:
+        context: callers.CallContext,
+    ) -> _CallResult:
         """Run a call and say what is known of it."""
         excluded: tuple[str, ...] = ()
-        doubt = False
+        may_have_run = False
         for attempts in itertools.count(1):
-            route = self._route_service(service, wish, excluded)
+            route = self._route_service(service, context, excluded)
             if isinstance(route, routing.Refusal):
-                refused = http_protocol.from_refusal(route, doubt)
-                return _Dispatched(callers.name_outcome(doubt), refused)
+                refused = http_protocol.from_refusal(route, may_have_run)
+                return _CallResult(
+                    callers.choose_outcome(may_have_run), refused
+                )
             fetched = self._fetch(request, service, route)
             if isinstance(fetched, result.Ok):
                 answer = fetched.ok_value
                 response = http_protocol.from_answer(answer, attempts)
-                return _Dispatched(homes.Outcome.DONE, response, answer)
+                return _CallResult(homes.Outcome.DONE, response, answer)
             error = fetched.err_value
             excluded = (*excluded, route.subject)
-            doubt = doubt or error.may_have_run
+            may_have_run = may_have_run or error.may_have_run
             failure = retries.AttemptFailure(
                 attempts=attempts,
-                may_have_run=doubt,
+                may_have_run=may_have_run,
                 idempotent=service.idempotent,
                 started=False,
-                deadline=wish.deadline,
+                deadline=context.deadline,
             )
-            refused_ = self._callers.decide_retry(failure, error)
-            if refused_ is not None:
-                return _Dispatched(callers.name_outcome(doubt), refused_)
+            refusal = self._callers.decide_retry(failure, error)
+            if refusal is not None:
+                return _CallResult(
+                    callers.choose_outcome(may_have_run), refusal
+                )
         raise AssertionError("unreachable")
 
     def _route_service(
         self,
         service: settings_module.ServiceSection,
-        wish: callers.Wish,
+        context: callers.CallContext,
         excluded: tuple[str, ...],
     ) -> routing.Route | routing.Refusal:
         attempt = self._callers.next_attempt()
-        return self._callers.ask_route(
+        return self._callers.request_route(
             lambda ticket: routing.RouteRequested(
                 ticket=ticket,
                 attempt=attempt,
                 service=service.name,
                 excluded=excluded,
-                organisation=wish.organisation,
-                weight=wish.weight,
-                deadline=wish.deadline,
+                organisation=context.organisation,
+                weight=context.weight,
+                deadline=context.deadline,
             ),
-            wish.deadline,
+            context.deadline,
         )
 
     def _fetch(
@@ -174,9 +184,9 @@
     ) -> result.Result[homes.StoredAnswer, errors.CallError]:
         call = upstreams.Call(
             address=route.address,
-            path=request.words["path"],
+            path=request.path_params["path"],
             body=request.body,
-            headers=callers.pass_headers(request),
+            headers=callers.get_forwarded_headers(request),
             timeout=service.timeout,
             connect_timeout=self._settings.requests.connect_timeout,
             fresh=not service.idempotent,
@@ -189,7 +199,7 @@
         status = fetched.ok_value.status
         if status not in service.refusals:
             return fetched
-        return result.Err(callers.make_refused(route.address, status))
+        return result.Err(callers.make_refused_error(route.address, status))
 
     def _forward(
         self,
@@ -200,39 +210,41 @@
         """Pass a keyed call to its home and its answer back."""
         member = self._core.node.nodes.get(home.node)
         if member is None:
-            return callers.say_unknown("its home is gone")
+            return callers.make_unknown_response("its home is gone")
         me = self._core.node.nodes.me.id
         headers = (
-            *callers.pass_headers(request),
+            *callers.get_forwarded_headers(request),
             (http_protocol.KEY_HEADER, request.headers["idempotency-key"]),
             (http_protocol.FORWARDED_HEADER, me),
-            *_pass_token(request),
+            *_get_token_header(request),
         )
         call = upstreams.Call(
             address=member.address,
             path=request.target,
             body=request.body,
             headers=headers,
-            timeout=service.timeout + _FORWARD_SLACK,
+            timeout=service.timeout + _FORWARD_TIMEOUT_MARGIN,
             connect_timeout=self._settings.requests.connect_timeout,
         )
         fetched = self._calls.fetch(call)
         if isinstance(fetched, result.Err):
-            return callers.say_unknown(f"its home: {fetched.err_value}")
+            return callers.make_unknown_response(
+                f"its home: {fetched.err_value}"
+            )
         answer = fetched.ok_value
         return Response(answer.status, answer.headers, answer.body)
 
 
-def _pass_token(request: server.Request) -> tuple[tuple[str, str], ...]:
+def _get_token_header(request: server.Request) -> tuple[tuple[str, str], ...]:
     token = request.headers.get("authorization")
     return (("authorization", token),) if token else ()
 
 
-def _refuse_unbound() -> Response:
+def _make_unbound_response() -> Response:
     return http_protocol.fail(
         http.HTTPStatus.BAD_GATEWAY,
         "outcome_unknown",
         "nothing was run now; the key could not be looked up in time",
         homes.Outcome.UNKNOWN,
-        _RETRY_LATER,
+        _RETRY_AFTER,
     )
--- a/currantwall/transport/splice.py
+++ b/currantwall/transport/splice.py
@@ -30,15 +30,15 @@
 _EPOLLHUP = _select.EPOLLHUP
 _EPOLLRDHUP = _select.EPOLLRDHUP
 
-_RECEIVE = 65_536
-_END = b"\r\n0\r\n\r\n"
-_END_MARK = b"data: [DONE]"
+_RECEIVE_SIZE = 65_536
+_LAST_CHUNK = b"\r\n0\r\n\r\n"
+_DONE_EVENT = b"data: [DONE]"
 # Where an own chunk may follow: after a whole event in a whole chunk.
-_BOUNDARY = b"\n\n\r\n"
-_TAIL = 64
-_SWEEP_SECONDS = 1.0
+_EVENT_BOUNDARY = b"\n\n\r\n"
+_TAIL_SIZE = 64
+_SWEEP_INTERVAL = 1.0
 # Ready sockets served in one go before other tasks get a turn.
-_BURST = 256
+_MAX_READY = 256
 
 
 class _Stream:
@@ -56,14 +56,14 @@
         self.tail = tail
         self.peer = peer
         self.pending = b""
-        self.last = time.monotonic()
+        self.last_received = time.monotonic()
         self.done = eventlet.event.Event()
         self.finished = False
 
     @property
     def is_whole(self) -> bool:
         """Return whether the stream ended with its marks."""
-        return self.tail.endswith(_END) and _END_MARK in self.tail
+        return self.tail.endswith(_LAST_CHUNK) and _DONE_EVENT in self.tail
 
 
 class Splicer:
@@ -80,23 +80,23 @@
     def run(self) -> None:
         """Serve all streams for ever."""
         self._running = True
-        next_sweep = time.monotonic() + _SWEEP_SECONDS
+        next_sweep = time.monotonic() + _SWEEP_INTERVAL
         descriptor = self._poller.fileno()
         while self._running:
             self._wait(descriptor)
-            for ready, flags in self._poller.poll(0, _BURST):
+            for ready, flags in self._poller.poll(0, _MAX_READY):
                 self._serve(ready, flags)
             eventlet.sleep(0)
             now = time.monotonic()
             if now >= next_sweep:
-                next_sweep = now + _SWEEP_SECONDS
+                next_sweep = now + _SWEEP_INTERVAL
                 self._sweep(now)
 
     @staticmethod
     def _wait(descriptor: int) -> None:
         try:
             eventlet.hubs.trampoline(
-                descriptor, read=True, timeout=_SWEEP_SECONDS
+                descriptor, read=True, timeout=_SWEEP_INTERVAL
             )
         except eventlet.Timeout:
             return
@@ -118,41 +118,41 @@
             peer: Name of the upstream, for errors.
         """
         stream = _Stream(upstream, caller, b"", peer)
-        if not self._pass_on(stream, first):
-            return _fail(peer, errors.Failure.CLOSED, "the caller left")
-        if stream.tail.endswith(_END):
-            return self._judge(stream)
+        if not self._forward(stream, first):
+            return _make_error(peer, errors.Failure.CLOSED, "the caller left")
+        if stream.tail.endswith(_LAST_CHUNK):
+            return self._check_end(stream)
         self._streams[upstream.fileno()] = stream
         self._streams[caller.fileno()] = stream
         try:
-            self._watch(stream)
+            self._update_interest(stream)
             failure = stream.done.wait()
         finally:
-            self._forget(stream)
+            self._unregister(stream)
         return typing.cast("errors.CallError | None", failure)
 
     # -- The poller
 
-    def _watch(self, stream: _Stream) -> None:
+    def _update_interest(self, stream: _Stream) -> None:
         """Wait for the upstream, or for the caller to take what is held.
 
         While the caller does not take it, the upstream is not read, so a
         slow caller holds back its own stream and no memory grows.
         """
         if stream.pending:
-            self._set(stream.caller, _EPOLLOUT)
-            self._set(stream.upstream, 0)
+            self._set_flags(stream.caller, _EPOLLOUT)
+            self._set_flags(stream.upstream, 0)
         else:
-            self._set(stream.caller, _EPOLLRDHUP)
-            self._set(stream.upstream, _EPOLLIN | _EPOLLRDHUP)
+            self._set_flags(stream.caller, _EPOLLRDHUP)
+            self._set_flags(stream.upstream, _EPOLLIN | _EPOLLRDHUP)
 
-    def _set(self, sock: socket.socket, flags: int) -> None:
+    def _set_flags(self, sock: socket.socket, flags: int) -> None:
         try:
             self._poller.modify(sock.fileno(), flags)
         except FileNotFoundError:
             self._poller.register(sock.fileno(), flags)
 
-    def _forget(self, stream: _Stream) -> None:
+    def _unregister(self, stream: _Stream) -> None:
         stream.finished = True
         for sock in (stream.upstream, stream.caller):
             self._streams.pop(sock.fileno(), None)
@@ -172,42 +172,48 @@
 
     def _serve_caller(self, stream: _Stream, flags: int) -> None:
         if flags & (_EPOLLHUP | _EPOLLERR | _EPOLLRDHUP):
-            left = errors.Failure.CLOSED
-            self._end(stream, _fail(stream.peer, left, "the caller left"))
+            closed = errors.Failure.CLOSED
+            self._end(
+                stream, _make_error(stream.peer, closed, "the caller left")
+            )
             return
-        held, stream.pending = stream.pending, b""
-        if not self._pass_on(stream, held, again=True):
-            left = errors.Failure.CLOSED
-            self._end(stream, _fail(stream.peer, left, "the caller left"))
+        data, stream.pending = stream.pending, b""
+        if not self._forward(stream, data, is_retry=True):
+            closed = errors.Failure.CLOSED
+            self._end(
+                stream, _make_error(stream.peer, closed, "the caller left")
+            )
         elif not stream.pending:
-            self._watch(stream)
-            self._end_if_over(stream)
+            self._update_interest(stream)
+            self._end_if_complete(stream)
 
     def _serve_upstream(self, stream: _Stream) -> None:
         try:
-            data = stream.upstream.recv(_RECEIVE)
+            data = stream.upstream.recv(_RECEIVE_SIZE)
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
             data = b""
         if not data:
-            self._end(stream, self._cut(stream))
+            self._end(stream, self._make_cut_error(stream))
             return
-        if not self._pass_on(stream, data):
-            left = errors.Failure.CLOSED
-            self._end(stream, _fail(stream.peer, left, "the caller left"))
+        if not self._forward(stream, data):
+            closed = errors.Failure.CLOSED
+            self._end(
+                stream, _make_error(stream.peer, closed, "the caller left")
+            )
         elif stream.pending:
-            self._watch(stream)
+            self._update_interest(stream)
         else:
-            self._end_if_over(stream)
+            self._end_if_complete(stream)
 
-    def _pass_on(
-        self, stream: _Stream, data: bytes, again: bool = False
+    def _forward(
+        self, stream: _Stream, data: bytes, is_retry: bool = False
     ) -> bool:
         """Send what the caller takes now; return whether it is there."""
-        if not again:
-            stream.tail = (stream.tail + data)[-_TAIL:]
-            stream.last = time.monotonic()
+        if not is_retry:
+            stream.tail = (stream.tail + data)[-_TAIL_SIZE:]
+            stream.last_received = time.monotonic()
             self.chunks += 1
         try:
             sent = stream.caller.send(data) if data else 0
@@ -221,23 +227,25 @@
 
     # -- Ends
 
-    def _end_if_over(self, stream: _Stream) -> None:
-        if stream.tail.endswith(_END):
-            self._end(stream, self._judge(stream))
+    def _end_if_complete(self, stream: _Stream) -> None:
+        if stream.tail.endswith(_LAST_CHUNK):
+            self._end(stream, self._check_end(stream))
 
     @staticmethod
-    def _judge(stream: _Stream) -> errors.CallError | None:
+    def _check_end(stream: _Stream) -> errors.CallError | None:
         """Return what is wrong with a stream that ended by itself."""
         if stream.is_whole:
             return None
-        return _fail(stream.peer, errors.Failure.TRUNCATED, "no end mark")
+        return _make_error(
+            stream.peer, errors.Failure.TRUNCATED, "no end mark"
+        )
 
     @staticmethod
-    def _cut(stream: _Stream) -> errors.CallError:
+    def _make_cut_error(stream: _Stream) -> errors.CallError:
         """Return the failure of a stream whose upstream is gone."""
-        at_boundary = stream.tail.endswith(_BOUNDARY)
+        at_boundary = stream.tail.endswith(_EVENT_BOUNDARY)
         detail = "at a boundary" if at_boundary else "inside a chunk"
-        return _fail(stream.peer, errors.Failure.TRUNCATED, detail)
+        return _make_error(stream.peer, errors.Failure.TRUNCATED, detail)
 
     @staticmethod
     def _end(stream: _Stream, failure: errors.CallError | None) -> None:
@@ -248,12 +256,14 @@
     def _sweep(self, now: float) -> None:
         """End the streams that stand still."""
         for stream in set(self._streams.values()):
-            if now - stream.last > self._idle:
+            if now - stream.last_received > self._idle:
                 stalled = errors.Failure.TIMEOUT
-                self._end(stream, _fail(stream.peer, stalled, "idle"))
+                self._end(stream, _make_error(stream.peer, stalled, "idle"))
 
 
-def _fail(peer: str, failure: errors.Failure, detail: str) -> errors.CallError:
+def _make_error(
+    peer: str, failure: errors.Failure, detail: str
+) -> errors.CallError:
     return errors.CallError(errors.Step.BODY, peer, failure, detail)
 
 
--- a/currantwall/transport/upstreams.py
+++ b/currantwall/transport/upstreams.py
@@ -21,11 +21,11 @@
 
 __all__ = ["Call", "Stream", "Upstreams"]
 
-_POOL_SIZE = 64
-_POOLS = 4096
-_REPORT_LIMIT = 65_536
-_ANSWER_LIMIT = 16_777_216
-_CHUNK = 65_536
+_MAX_CONNECTIONS = 64
+_MAX_POOLS = 4096
+_MAX_REPORT_SIZE = 65_536
+_MAX_ANSWER_SIZE = 16_777_216
+_READ_SIZE = 65_536
 # Headers that speak of one connection and are not passed on.
 _HOP_HEADERS = frozenset(
     (
@@ -72,14 +72,14 @@
         self._peer = peer
         self._response = response
         self.status = response.status
-        self.headers = _keep_headers(response)
+        self.headers = _drop_hop_headers(response)
 
     def read_chunks(self) -> abc.Iterator[bytes]:
         """Yield the body as it comes; raises `StreamCut` when cut."""
         try:
-            yield from self._response.stream(_CHUNK, decode_content=False)
+            yield from self._response.stream(_READ_SIZE, decode_content=False)
         except (urllib3.exceptions.HTTPError, OSError) as error:
-            raise StreamCut(_explain(error, self._peer)) from error
+            raise StreamCut(_make_call_error(error, self._peer)) from error
         finally:
             self.close()
 
@@ -98,9 +98,9 @@
         """
         raw = self._response._fp  # noqa: SLF001
         connection = self._response._connection  # noqa: SLF001
-        ahead = raw.fp.read1(_CHUNK)
+        buffered = raw.fp.read1(_READ_SIZE)
         green = connection.sock
-        return getattr(green, "fd", green), ahead
+        return getattr(green, "fd", green), buffered
 
     def close(self) -> None:
         """Close the connection unless the body was read to its end."""
@@ -130,12 +130,15 @@
         self._clock = clock
         self._tell = tell
         self._pool = urllib3.PoolManager(
-            num_pools=_POOLS, maxsize=_POOL_SIZE, retries=False, block=False
+            num_pools=_MAX_POOLS,
+            maxsize=_MAX_CONNECTIONS,
+            retries=False,
+            block=False,
         )
         # Probes keep connections of their own: they must not wait behind
         # requests, and a broken one must not be blamed on the instance.
         self._probe_pool = urllib3.PoolManager(
-            num_pools=_POOLS, maxsize=2, retries=False, block=False
+            num_pools=_MAX_POOLS, maxsize=2, retries=False, block=False
         )
 
     # -- Actions
@@ -152,7 +155,7 @@
 
     def _probe(self, action: actions.Probe) -> None:
         with eventlet.Timeout(action.timeout, False):
-            outcome, report = self._ask_report(action)
+            outcome, report = self._fetch_report(action)
             self._tell(
                 messages.ProbeAnswered(action.instance, outcome, report)
             )
@@ -160,7 +163,7 @@
         outcome = messages.ProbeOutcome.TIMEOUT
         self._tell(messages.ProbeAnswered(action.instance, outcome))
 
-    def _ask_report(
+    def _fetch_report(
         self, action: actions.Probe
     ) -> tuple[messages.ProbeOutcome, instances.Report | None]:
         outcomes = messages.ProbeOutcome
@@ -228,7 +231,7 @@
                 redirect=False,
             )
         except (urllib3.exceptions.HTTPError, OSError) as error:
-            return result.Err(_explain(error, call.address))
+            return result.Err(_make_call_error(error, call.address))
         return result.Ok(Stream(call.address, response))
 
     def fetch(
@@ -245,7 +248,7 @@
             for chunk in stream.read_chunks():
                 parts.append(chunk)
                 size += len(chunk)
-                if size > _ANSWER_LIMIT:
+                if size > _MAX_ANSWER_SIZE:
                     return result.Err(
                         errors.CallError(
                             errors.Step.BODY,
@@ -265,7 +268,7 @@
         return urllib3.PoolManager(num_pools=1, maxsize=1, retries=False)
 
 
-def _keep_headers(response: urllib3.BaseHTTPResponse) -> Headers:
+def _drop_hop_headers(response: urllib3.BaseHTTPResponse) -> Headers:
     return tuple(
         (name, value)
         for name, value in response.headers.items()
@@ -273,17 +276,21 @@
     )
 
 
-def _explain(error: Exception, peer: str) -> errors.CallError:
+def _make_call_error(error: Exception, peer: str) -> errors.CallError:
     """Return the typed form of an error of urllib3 or a socket."""
-    kinds = urllib3.exceptions
+    exceptions = urllib3.exceptions
     detail = str(error)
-    if isinstance(error, kinds.NewConnectionError | kinds.NameResolutionError):
+    if isinstance(
+        error, exceptions.NewConnectionError | exceptions.NameResolutionError
+    ):
         step, failure = errors.Step.CONNECT, errors.Failure.REFUSED
-    elif isinstance(error, kinds.ConnectTimeoutError):
+    elif isinstance(error, exceptions.ConnectTimeoutError):
         step, failure = errors.Step.CONNECT, errors.Failure.TIMEOUT
-    elif isinstance(error, kinds.ReadTimeoutError):
+    elif isinstance(error, exceptions.ReadTimeoutError):
         step, failure = errors.Step.BODY, errors.Failure.TIMEOUT
-    elif isinstance(error, kinds.IncompleteRead | kinds.InvalidChunkLength):
+    elif isinstance(
+        error, exceptions.IncompleteRead | exceptions.InvalidChunkLength
+    ):
         step, failure = errors.Step.BODY, errors.Failure.TRUNCATED
     else:
         step, failure = errors.Step.HEADERS, errors.Failure.CLOSED
--- a/standins/objectapi.py
+++ b/standins/objectapi.py
@@ -51,7 +51,7 @@
         failed = self._begin()
         if failed is not None:
             return failed
-        kind = request.words["kind"]
+        kind = request.path_params["kind"]
         if "watch" in request.query:
             return self._watch(kind, request.query)
         items = [_show(one) for one in self._store.select({kind})]
@@ -93,7 +93,7 @@
         """Create an object, named in its metadata."""
         body = msgspec.json.decode(request.body)
         name = body["metadata"]["name"]
-        key = objects.ObjectKey(request.words["kind"], name)
+        key = objects.ObjectKey(request.path_params["kind"], name)
         return self._write(key, body["spec"], 0)
 
     @server.route("PUT", _NAMED)
@@ -169,7 +169,9 @@
 
 
 def _make_key(request: server.Request) -> objects.ObjectKey:
-    return objects.ObjectKey(request.words["kind"], request.words["name"])
+    return objects.ObjectKey(
+        request.path_params["kind"], request.path_params["name"]
+    )
 
 
 def _show(stored: objects.Stored) -> dict[str, typing.Any]:
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -162,7 +162,7 @@
         return self._write(request, b"")
 
     def _write(self, request: server.Request, value: bytes) -> Response:
-        claim = request.words["kind"] == objects.Kind.CLAIMS.value
+        claim = request.path_params["kind"] == objects.Kind.CLAIMS.value
         failed = self._begin("claim" if claim else "write")
         if failed is not None:
             return failed
@@ -232,7 +232,7 @@
     @server.route("DELETE", r"/control/instances/(?P<name>[^/]+)")
     def remove_instance(self, request: server.Request) -> Response:
         """Take an instance off the list."""
-        self._listed.remove(request.words["name"])
+        self._listed.remove(request.path_params["name"])
         return Response(http.HTTPStatus.OK, ())
 
     @server.route("GET", r"/control/calls")
@@ -251,7 +251,9 @@
 
 
 def _make_key(request: server.Request) -> objects.ObjectKey:
-    return objects.ObjectKey(request.words["kind"], request.words["name"])
+    return objects.ObjectKey(
+        request.path_params["kind"], request.path_params["name"]
+    )
 
 
 def _serve(
