--- a/currantwall/gateway.py
+++ b/currantwall/gateway.py
@@ -172,9 +172,9 @@
             self._clock,
         )
         made.is_ready = lambda: self._is_ready
-        made.give_up = self._sender.give_up
-        self._sender.on_doubt = made.tell_doubt
-        self._queue.on_pressure = made.tell_loads
+        made.give_up = self._sender.abort_attempts
+        self._sender.on_probe_requested = made.tell_doubt
+        self._queue.on_high_load = made.tell_loads
         self._duties.on_loss = made.tell_loss
         self._duties.on_slow = made.tell_slow
         self._configuration.on_change = made.tell_change
@@ -191,7 +191,7 @@
         settings = self._settings
         if self._listener is None:
             self._listener = listeners.open_listener(settings.front)
-        self._listener = ingress.adopt(self._listener)
+        self._listener = ingress.wrap_listener(self._listener)
         self._front_task = ingress.start_server(self._listener, self._front)
         for address, handler in self._list_servers().items():
             ingress.start_server(
@@ -217,7 +217,7 @@
         """Let requests through once the node can serve them, or can't."""
         while not self._is_ready and self._configuration.is_store_there:
             eventlet.sleep(_START_POLL)
-        self._forwarder.open()
+        self._forwarder.end_start_hold()
 
     def _list_servers(self) -> dict[str, ingress.Handler]:
         """Return the handlers of the other addresses."""
@@ -265,7 +265,7 @@
 
     @property
     def _is_ready(self) -> bool:
-        known = self._forwarder.is_known and self._fleet.is_known
+        known = self._forwarder.has_configuration and self._fleet.is_known
         return known and not self._stopping
 
     # -- Questions of the platform, callers and peers
@@ -342,7 +342,7 @@
             self._listener.close()
             self._front_task.kill()
             self._front_task = None
-            self._forwarder.is_closed = True
+            self._forwarder.is_stopping = True
 
     def _stop(self) -> None:
         """Leave: out of the addresses, drain, end.
--- a/currantwall/transport/exchanges.py
+++ b/currantwall/transport/exchanges.py
@@ -42,11 +42,11 @@
 # a peer that has vanished without a reset.
 _USER_TIMEOUT_MS = 3000
 # Seconds an idle connection is kept where the upstream names none.
-_IDLE_DEFAULT = 4.0
+_DEFAULT_KEEP_ALIVE = 4.0
 # Seconds before the upstream's own limit at which it is not used again.
-_IDLE_MARGIN = 1.0
+_KEEP_ALIVE_MARGIN = 1.0
 # Idle connections kept for each upstream.
-_IDLE_LIMIT = 8
+_MAX_IDLE = 8
 # Messages that wait in an inbox before the upstream is held back.
 _INBOX_LIMIT = 64
 _READ_SIZE = 65_536
@@ -68,9 +68,9 @@
     target: str
     headers: tuple[tuple[str, str], ...]
     body: bytes | None
-    attempt: str
+    attempt_id: str
     timeout: float
-    fresh: bool
+    new_only: bool
 
 
 class Head(msgspec.Struct, frozen=True):
@@ -102,14 +102,14 @@
     """
 
     exchange: int
-    sent: bool
+    may_have_sent: bool
     step: str
     detail: str
 
 
 class _Idle(msgspec.Struct, frozen=True):
     connection: urllib3.connection.HTTPConnection
-    until: float
+    expires_at: float
 
 
 class Connections:
@@ -121,12 +121,12 @@
         self.opened = 0
 
     def take(
-        self, instance: ids.InstanceId, address: str, fresh: bool
+        self, instance: ids.InstanceId, address: str, new_only: bool
     ) -> urllib3.connection.HTTPConnection:
         """Return a connected connection; raises `OSError` and the like."""
-        while not fresh and self._idle.get(instance):
+        while not new_only and self._idle.get(instance):
             idle = self._idle[instance].pop()
-            if self._now() < idle.until and is_quiet(idle.connection):
+            if self._now() < idle.expires_at and is_quiet(idle.connection):
                 return idle.connection
             idle.connection.close()
         connection = open_connection(address, _CONNECT_TIMEOUT)
@@ -137,14 +137,14 @@
         self,
         instance: ids.InstanceId,
         connection: urllib3.connection.HTTPConnection,
-        keep: float,
+        keep_alive: float,
     ) -> None:
         """Keep a connection whose answer was read to its end."""
         held = self._idle.setdefault(instance, [])
-        if keep <= 0 or len(held) >= _IDLE_LIMIT:
+        if keep_alive <= 0 or len(held) >= _MAX_IDLE:
             connection.close()
             return
-        held.append(_Idle(connection, self._now() + keep))
+        held.append(_Idle(connection, self._now() + keep_alive))
 
     def forget(self, present: typing.Container[ids.InstanceId]) -> None:
         """Close what is idle to upstreams that are gone, or for long."""
@@ -153,7 +153,7 @@
             kept = [
                 idle
                 for idle in held
-                if instance in present and now < idle.until
+                if instance in present and now < idle.expires_at
             ]
             for idle in held:
                 if idle not in kept:
@@ -204,7 +204,7 @@
         self._connections = connections
         self._names = names
         self._connection: urllib3.connection.HTTPConnection | None = None
-        self._sent = False
+        self._may_have_sent = False
         self._task = eventlet.spawn(self._run)
 
     def cancel(self) -> None:
@@ -221,7 +221,7 @@
         step = "connect"
         try:
             self._connection = self._connections.take(
-                self._instance, self._address, self._outbound.fresh
+                self._instance, self._address, self._outbound.new_only
             )
             step = "send"
             self._send()
@@ -240,7 +240,7 @@
         ) as error:
             self._close()
             detail = f"{type(error).__name__}: {error}"
-            self._put(Failed(self.number, self._sent, step, detail))
+            self._put(Failed(self.number, self._may_have_sent, step, detail))
         finally:
             # Also reached when the task is killed.
             self._close()
@@ -258,7 +258,7 @@
             headers["User-Agent"] = urllib3.util.SKIP_HEADER
         if "accept-encoding" not in headers:
             headers["Accept-Encoding"] = urllib3.util.SKIP_HEADER
-        self._sent = True
+        self._may_have_sent = True
         connection.request(
             self._outbound.method,
             self._outbound.target,
@@ -284,16 +284,16 @@
         connection = self._connection
         if connection is None or connection.sock is None:
             return
-        framed = response.chunked or "content-length" in response.headers
-        if not framed:
+        is_delimited = response.chunked or "content-length" in response.headers
+        if not is_delimited:
             return
         if response.headers.get(self._names.attempt) != (
-            self._outbound.attempt
+            self._outbound.attempt_id
         ):
             return
         self._connection = None
-        keep = read_keep_alive(response.headers)
-        self._connections.give_back(self._instance, connection, keep)
+        keep_alive = read_keep_alive(response.headers)
+        self._connections.give_back(self._instance, connection, keep_alive)
 
 
 def is_quiet(connection: urllib3.connection.HTTPConnection) -> bool:
@@ -312,8 +312,8 @@
     """Return the seconds for which an idle connection may be used."""
     if headers.get("connection", "").lower() == "close":
         return 0.0
-    for part in headers.get("keep-alive", "").split(","):
-        name, _, number = part.strip().partition("=")
-        if name.lower() == "timeout" and number.strip().isdecimal():
-            return float(number) - _IDLE_MARGIN
-    return _IDLE_DEFAULT
+    for parameter in headers.get("keep-alive", "").split(","):
+        name, _, seconds = parameter.strip().partition("=")
+        if name.lower() == "timeout" and seconds.strip().isdecimal():
+            return float(seconds) - _KEEP_ALIVE_MARGIN
+    return _DEFAULT_KEEP_ALIVE
--- a/currantwall/transport/forwarding.py
+++ b/currantwall/transport/forwarding.py
@@ -26,7 +26,7 @@
 Reply = ingress.Reply
 
 # Part of the caller's remaining time that a hint to come back may take.
-_RETURN_SHARE = 0.3
+_MAX_RETRY_AFTER_SHARE = 0.3
 # Messages from upstreams that wait before an upstream is held back.
 _INBOX_LIMIT = 64
 # Seconds between two looks at a caller that has sent bytes ahead.
@@ -44,10 +44,10 @@
     ) -> None:
         self.table: routes.RouteTable | None = None
         # Whether the process is about to end.
-        self.is_closed = False
+        self.is_stopping = False
         self._sender = sender
-        self._began = sender.now()
-        self._opened = eventlet.event.Event()
+        self._started_at = sender.now()
+        self._start_ended = eventlet.event.Event()
         self._names = sender.names
         self._meter = meter
         self._log = log
@@ -55,31 +55,31 @@
         self._streams = streams.Streams(sender)
 
     @property
-    def is_known(self) -> bool:
+    def has_configuration(self) -> bool:
         """Return whether a configuration is in force."""
         return self.table is not None
 
-    def open(self) -> None:
+    def end_start_hold(self) -> None:
         """Let requests through that wait for the end of the start."""
-        if not self._opened.ready():
-            self._opened.send(None)
+        if not self._start_ended.ready():
+            self._start_ended.send(None)
 
     def _wait_for_start(self) -> None:
-        if self._opened.ready():
+        if self._start_ended.ready():
             return
-        lasted = self._sender.now() - self._began
-        with eventlet.Timeout(attempts.get_start_hold(lasted), False):
-            self._opened.wait()
+        elapsed = self._sender.now() - self._started_at
+        with eventlet.Timeout(attempts.get_start_hold(elapsed), False):
+            self._start_ended.wait()
 
     def serve(self, inbound: ingress.Inbound) -> Reply:
         """Answer one request."""
         self._wait_for_start()
-        attempt = inbound.headers.get(self._names.attempt, "")
+        attempt_id = inbound.headers.get(self._names.attempt, "")
         try:
-            request = self._admit(inbound, attempt)
+            request = self._admit(inbound, attempt_id)
         except requests.Refused as refusal:
-            return self._refuse(refusal, attempt, "admission")
-        self._sender.begin(request)
+            return self._refuse(refusal, attempt_id, "admission")
+        self._sender.note_request(request)
         request.watcher = eventlet.spawn(self._watch_caller, request)
         try:
             if request.route.kind is routes.RouteKind.STREAMING:
@@ -87,52 +87,54 @@
             return self._wholes.serve(request)
         except requests.Refused as refusal:
             request.watcher.kill()
-            limit = request.limit - self._sender.now()
-            share = max(0.05, limit * _RETURN_SHARE)
-            refusal.retry_after = min(refusal.retry_after, share)
-            return self._refuse(refusal, attempt, request.route.name)
+            remaining = request.deadline - self._sender.now()
+            max_retry_after = max(0.05, remaining * _MAX_RETRY_AFTER_SHARE)
+            refusal.retry_after = min(refusal.retry_after, max_retry_after)
+            return self._refuse(refusal, attempt_id, request.route.name)
         except BaseException:
             request.watcher.kill()
             raise
 
     def _admit(
-        self, inbound: ingress.Inbound, attempt: str
+        self, inbound: ingress.Inbound, attempt_id: str
     ) -> requests.Request:
         """Return the request with its route, or refuse it."""
         table = self.table
-        if self.is_closed:
+        if self.is_stopping:
             raise requests.Refused(503, "stopping", 0.0)
         if table is None:
-            hint = attempts.estimate_start_delay(
-                self._sender.now() - self._began
+            retry_after = attempts.estimate_start_delay(
+                self._sender.now() - self._started_at
             )
-            raise requests.Refused(503, "no configuration yet", hint)
+            raise requests.Refused(503, "no configuration yet", retry_after)
         host = inbound.headers["host"].partition(":")[0]
         route = table.find_route(host, inbound.path)
         if route is None:
             raise requests.Refused(404, "no route")
-        organisation = self._identify(inbound, table, route)
-        name = route.choose_service(attempt)
+        organisation = self._identify_organisation(inbound, table, route)
+        name = route.choose_service(attempt_id)
         service = table.find_service(name)
         if service is None:
-            hint = attempts.estimate_start_delay(0.0)
-            raise requests.Refused(503, "unknown service", hint)
-        budget = _read_budget(inbound.headers.get(self._names.budget))
-        limit = route.timeout
-        if budget is not None:
-            limit = min(limit, budget)
+            retry_after = attempts.estimate_start_delay(0.0)
+            raise requests.Refused(503, "unknown service", retry_after)
+        caller_timeout = _parse_timeout(
+            inbound.headers.get(self._names.budget)
+        )
+        timeout = route.timeout
+        if caller_timeout is not None:
+            timeout = min(timeout, caller_timeout)
         model = None
         if service.engine is not None:
             model = inbound.headers.get(self._names.model, "")
         return requests.Request(
             inbound=inbound,
-            attempt=attempt,
+            attempt_id=attempt_id,
             route=route,
             service=service,
             model=model,
             organisation=organisation,
-            limit=inbound.received + limit,
-            budget=budget,
+            deadline=inbound.received + timeout,
+            caller_timeout=caller_timeout,
             version=table.version,
             inbox=eventlet.queue.LightQueue(_INBOX_LIMIT),
             progress=attempts.Progress(),
@@ -140,7 +142,7 @@
             last_event=inbound.headers.get(self._names.last_event, ""),
         )
 
-    def _identify(
+    def _identify_organisation(
         self,
         inbound: ingress.Inbound,
         table: routes.RouteTable,
@@ -151,12 +153,12 @@
         scheme, _, key = inbound.headers.get("authorization", "").partition(
             " "
         )
-        found = None
+        organisation = None
         if scheme.lower() == "bearer":
-            found = table.find_organisation(key.strip())
-        if found is None and not route.public:
+            organisation = table.find_organisation(key.strip())
+        if organisation is None and not route.public:
             raise requests.Refused(401, "unknown key")
-        return found
+        return organisation
 
     def _watch_caller(self, request: requests.Request) -> None:
         """Tell the inbox when the caller closes its connection.
@@ -166,28 +168,28 @@
         a caller sends ahead stays for the next request.
         """
         sock = request.inbound.client
-        raw = getattr(sock, "fd", sock)
+        client = getattr(sock, "fd", sock)
         while True:
             try:
-                eventlet.hubs.trampoline(raw.fileno(), read=True)
-                data = raw.recv(1, socket.MSG_PEEK)
+                eventlet.hubs.trampoline(client.fileno(), read=True)
+                data = client.recv(1, socket.MSG_PEEK)
             except BlockingIOError:
                 continue
             except (OSError, ValueError):
                 data = b""
             if not data:
-                request.left = True
-                request.inbox.put(requests.Left())
+                request.disconnected = True
+                request.inbox.put(requests.Disconnected())
                 return
             eventlet.sleep(_PEEK_INTERVAL)
 
     def _refuse(
-        self, refusal: requests.Refused, attempt: str, where: str
+        self, refusal: requests.Refused, attempt_id: str, where: str
     ) -> Reply:
         self._meter.add(sending.ANSWERS, 1, str(refusal.status))
         self._log.write(
             "refused",
-            request=attempt,
+            request=attempt_id,
             where=where,
             status=refusal.status,
             why=refusal.reason,
@@ -199,8 +201,8 @@
         if refusal.status == 503:
             wait = max(refusal.retry_after, 0.05)
             headers.append(("Retry-After", f"{wait:.3f}"))
-        if attempt:
-            headers.append((self._names.attempt, attempt))
+        if attempt_id:
+            headers.append((self._names.attempt, attempt_id))
         return Reply(
             status=refusal.status,
             headers=headers,
@@ -208,7 +210,7 @@
         )
 
 
-def _read_budget(value: str | None) -> float | None:
+def _parse_timeout(value: str | None) -> float | None:
     """Return the seconds a caller waits, None where it doesn't say."""
     if value is None or not value.strip().isdecimal():
         return None
--- a/currantwall/transport/ingress.py
+++ b/currantwall/transport/ingress.py
@@ -21,12 +21,12 @@
 from currantwall.transport import listeners
 
 __all__ = [
-    "Ingress",
     "Inbound",
+    "Ingress",
     "Reply",
-    "adopt",
     "listen",
     "start_server",
+    "wrap_listener",
 ]
 
 # Connections that are served at the same time; above, new ones wait.
@@ -36,13 +36,13 @@
 # Seconds for a body to arrive.
 _BODY_TIMEOUT = 10.0
 # Bytes of one chunk's header line.
-_CHUNK_LINE = 256
-_TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
-_VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]*")
+_MAX_CHUNK_LINE = 256
+_HEADER_NAME = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
+_HEADER_VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]*")
 _REQUEST_LINE = re.compile(
     rb"([!#$%&'*+\-.^_`|~0-9A-Za-z]+) (/[\x21-\x7e]*) (HTTP/1\.[01])\r?\n"
 )
-_HEX = re.compile(rb"[0-9A-Fa-f]{1,8}")
+_CHUNK_SIZE = re.compile(rb"[0-9A-Fa-f]{1,8}")
 
 
 class Malformed(Exception):  # noqa: N818
@@ -188,34 +188,36 @@
             caller=str(self.client_address[0]),
         )
 
-    def _read_line(self, room: int) -> bytes:
-        line = self.rfile.readline(room + 1)
-        if len(line) > room:
+    def _read_line(self, limit: int) -> bytes:
+        line = self.rfile.readline(limit + 1)
+        if len(line) > limit:
             raise Malformed(431, "headers too large")
         if not line.endswith(b"\n"):
             raise OSError("connection ended inside a request")
         return line
 
-    def _read_head(self, room: int) -> tuple[str, str, urllib3.HTTPHeaderDict]:
-        line = self._read_line(room)
+    def _read_head(
+        self, remaining: int
+    ) -> tuple[str, str, urllib3.HTTPHeaderDict]:
+        line = self._read_line(remaining)
         while line in (b"\r\n", b"\n"):
-            room -= len(line)
-            line = self._read_line(room)
+            remaining -= len(line)
+            line = self._read_line(remaining)
         match = _REQUEST_LINE.fullmatch(line)
         if match is None:
             raise Malformed(400, "bad request line")
-        room -= len(line)
+        remaining -= len(line)
         headers = urllib3.HTTPHeaderDict()
         while True:
-            line = self._read_line(room)
-            room -= len(line)
+            line = self._read_line(remaining)
+            remaining -= len(line)
             if line in (b"\r\n", b"\n"):
                 break
-            name, mark, value = line.partition(b":")
+            name, colon, value = line.partition(b":")
             value = value.strip(b" \t\r\n")
-            if not mark or not _TOKEN.fullmatch(name):
+            if not colon or not _HEADER_NAME.fullmatch(name):
                 raise Malformed(400, "bad header name")
-            if not _VALUE.fullmatch(value):
+            if not _HEADER_VALUE.fullmatch(value):
                 raise Malformed(400, "bad header value")
             headers.add(name.decode("ascii"), value.decode("latin-1"))
         self.request_version = match[3].decode("ascii")
@@ -241,14 +243,14 @@
         return body
 
     def _read_chunks(self, limit: int) -> bytes:
-        parts: list[bytes] = []
+        chunks: list[bytes] = []
         size = 0
         while True:
-            line = self._read_line(_CHUNK_LINE)
-            number = line.partition(b";")[0].strip()
-            if not _HEX.fullmatch(number):
+            line = self._read_line(_MAX_CHUNK_LINE)
+            digits = line.partition(b";")[0].strip()
+            if not _CHUNK_SIZE.fullmatch(digits):
                 raise Malformed(400, "bad chunk size")
-            length = int(number, 16)
+            length = int(digits, 16)
             if not length:
                 break
             size += length
@@ -257,10 +259,10 @@
             data = self.rfile.read(length)
             if len(data) < length or self.rfile.read(2) != b"\r\n":
                 raise Malformed(400, "bad chunk")
-            parts.append(data)
-        while self._read_line(_CHUNK_LINE) not in (b"\r\n", b"\n"):
+            chunks.append(data)
+        while self._read_line(_MAX_CHUNK_LINE) not in (b"\r\n", b"\n"):
             continue
-        return b"".join(parts)
+        return b"".join(chunks)
 
     # -- Answering
 
@@ -280,14 +282,14 @@
         body: bytes | abc.Iterator[bytes],
     ) -> None:
         phrase = _PHRASES.get(status, "Unknown")
-        parts = (body,) if isinstance(body, bytes) else body
+        chunks = (body,) if isinstance(body, bytes) else body
 
-        def run(
+        def application(
             environ: dict[str, typing.Any],
             start: abc.Callable[..., typing.Any],
         ) -> abc.Iterable[bytes]:
             start(f"{status} {phrase}", headers)
-            return parts
+            return chunks
 
         # What eventlet asks of a request that has been read already.
         self.environ = {
@@ -297,7 +299,7 @@
             "eventlet.posthooks": [],
             "eventlet.minimum_write_chunk_size": 0,
         }
-        self.application = run
+        self.application = application
         self.handle_one_response()
 
     def _refuse(self, error: Malformed) -> None:
@@ -344,7 +346,7 @@
     lengths = headers.getlist("content-length")
     if encodings and lengths:
         raise Malformed(400, "both length and chunks")
-    if encodings and [one.lower() for one in encodings] != ["chunked"]:
+    if encodings and [coding.lower() for coding in encodings] != ["chunked"]:
         raise Malformed(400, "unknown transfer encoding")
     if lengths and not (
         len(lengths) == 1 and lengths[0].isascii() and lengths[0].isdigit()
@@ -358,10 +360,10 @@
 
 def listen(address: str) -> typing.Any:
     """Return a listening socket on an address."""
-    return adopt(listeners.open_listener(address))
+    return wrap_listener(listeners.open_listener(address))
 
 
-def adopt(listener: socket.socket) -> typing.Any:
+def wrap_listener(listener: socket.socket) -> typing.Any:
     """Return a listening socket for the use of eventlet."""
     # Taken over by accepted connections: an event must not wait for the
     # acknowledgement of the one before.
--- a/currantwall/transport/queues.py
+++ b/currantwall/transport/queues.py
@@ -24,15 +24,15 @@
 
 _WAITED = "currantwall.requests.waited"
 # Routes of which the longest time that callers wait is remembered.
-_ROUTES_LIMIT = 4096
+_MAX_ROUTES = 4096
 
 
-class _Waiting:
+class _WaitingRequest:
     """One request that waits, and the place it was given."""
 
     def __init__(self, request: requests.Request) -> None:
         self.request = request
-        self.placed: upstreams.Upstream | None = None
+        self.assigned: upstreams.Upstream | None = None
 
 
 class Queue:
@@ -46,20 +46,20 @@
         now: abc.Callable[[], float],
     ) -> None:
         # Told when a replica is nearly full, or none has room.
-        self.on_pressure: abc.Callable[[], None] = _ignore
+        self.on_high_load: abc.Callable[[], None] = _ignore
         self._balancer = balancer
         self._placer = placing.Placer(balancer)
         self._meter = meter
         self._log = log
         self._now = now
-        self._waiting: dict[backlog.Ticket, _Waiting] = {}
-        self._arrived = eventlet.event.Event()
+        self._waiting: dict[backlog.Ticket, _WaitingRequest] = {}
+        self._nonempty = eventlet.event.Event()
         # The longest time that callers of each route wait, in seconds.
-        self._budgets: dict[str, float] = {}
+        self._longest_timeouts: dict[str, float] = {}
 
     # -- One request
 
-    def place(
+    def acquire_slot(
         self, request: requests.Request
     ) -> upstreams.Upstream | balancing.Unavailable:
         """Return the replica for a request, once there is room.
@@ -70,11 +70,11 @@
         found = self._placer.try_place(ticket, self._now())
         if isinstance(found, placing.Placement):
             if self._placer.is_nearly_full(found.upstream):
-                self.on_pressure()
+                self.on_high_load()
             return found.upstream
         if not found.is_full:
             return found
-        self.on_pressure()
+        self.on_high_load()
         return self._wait(request, ticket)
 
     def is_late(self, request: requests.Request) -> bool:
@@ -89,41 +89,43 @@
     def _wait(
         self, request: requests.Request, ticket: backlog.Ticket
     ) -> upstreams.Upstream | balancing.Unavailable:
-        waiting = self._waiting[ticket] = _Waiting(request)
+        waiting = self._waiting[ticket] = _WaitingRequest(request)
         self._placer.add(ticket)
-        if not self._arrived.ready():
-            self._arrived.send(None)
-        self._turn_away(ticket.kind)
+        if not self._nonempty.ready():
+            self._nonempty.send(None)
+        self._notify_rejected(ticket.kind)
         try:
-            return self._await_place(waiting, ticket)
-        except requests.CallerLeft:
-            if waiting.placed is not None:
-                self._balancer.end(waiting.placed.id)
+            return self._await_slot(waiting, ticket)
+        except requests.CallerDisconnected:
+            if waiting.assigned is not None:
+                self._balancer.end(waiting.assigned.id)
             raise
         finally:
             self._placer.remove(ticket)
             self._waiting.pop(ticket, None)
 
-    def _await_place(
-        self, waiting: _Waiting, ticket: backlog.Ticket
+    def _await_slot(
+        self, waiting: _WaitingRequest, ticket: backlog.Ticket
     ) -> upstreams.Upstream | balancing.Unavailable:
         while True:
-            left = max(ticket.start_deadline - self._now(), 0.0)
+            remaining = max(ticket.start_deadline - self._now(), 0.0)
             try:
-                message = waiting.request.inbox.get(timeout=left)
+                message = waiting.request.inbox.get(timeout=remaining)
             except eventlet.queue.Empty:
-                if waiting.placed is not None:
+                if waiting.assigned is not None:
                     # It was given a place in this very moment.
                     continue
-                hint = self._placer.estimate_retry_after(ticket, self._now())
-                return balancing.Unavailable("no place in time", hint)
+                retry_after = self._placer.estimate_retry_after(
+                    ticket, self._now()
+                )
+                return balancing.Unavailable("no place in time", retry_after)
             if isinstance(message, requests.Placed):
                 return message.upstream
-            if isinstance(message, requests.TurnedAway):
-                why = "the backlog is too long"
-                return balancing.Unavailable(why, message.retry_after)
-            if isinstance(message, requests.Left):
-                raise requests.CallerLeft
+            if isinstance(message, requests.Rejected):
+                reason = "the backlog is too long"
+                return balancing.Unavailable(reason, message.retry_after)
+            if isinstance(message, requests.Disconnected):
+                raise requests.CallerDisconnected
             # Anything else is of an attempt that has ended.
 
     # -- Tickets
@@ -133,35 +135,39 @@
         route = request.route
         kind = _make_kind(request)
         received = request.inbound.received
-        gives_up = received + attempts.get_caller_patience(route)
-        first = self._placer.backlog.estimate_first_event(kind)
-        objective = received - self._measure_before(request) + route.target
+        patience_end = received + attempts.get_caller_patience(route)
+        first_event = self._placer.backlog.estimate_first_event(kind)
+        objective = (
+            received - self._estimate_earlier_wait(request) + route.target
+        )
         return backlog.Ticket(
-            request=f"{request.attempt}{request.progress.sends}",
+            request=f"{request.attempt_id}{request.progress.sends}",
             kind=kind,
             engine=request.service.engine,
             gap=route.gap,
             arrived=self._now(),
-            objective=objective if route.target else gives_up,
-            start_deadline=min(gives_up, request.limit) - first,
-            rank=_rank(request),
+            objective=objective if route.target else patience_end,
+            start_deadline=min(patience_end, request.deadline) - first_event,
+            rank=_get_rank(request),
             excluded=request.tried,
         )
 
-    def _measure_before(self, request: requests.Request) -> float:
+    def _estimate_earlier_wait(self, request: requests.Request) -> float:
         """Return the seconds a caller waited before this request.
 
         One that was told to come back has less time left than callers of
         its route have at first.
         """
-        if request.budget is None:
+        if request.caller_timeout is None:
             return 0.0
         name = request.route.name
-        if len(self._budgets) > _ROUTES_LIMIT:
-            self._budgets.clear()
-        usual = max(self._budgets.get(name, 0.0), request.budget)
-        self._budgets[name] = usual
-        return usual - request.budget
+        if len(self._longest_timeouts) > _MAX_ROUTES:
+            self._longest_timeouts.clear()
+        longest = max(
+            self._longest_timeouts.get(name, 0.0), request.caller_timeout
+        )
+        self._longest_timeouts[name] = longest
+        return longest - request.caller_timeout
 
     # -- Those that wait
 
@@ -172,33 +178,35 @@
         gateway knows of, and the others hold requests back from it.
         """
         if self._placer.is_nearly_full(upstream):
-            self.on_pressure()
+            self.on_high_load()
         if self._waiting:
-            self._give(self._placer.replace_ended(self._now()))
+            self._notify_placed(self._placer.replace_ended(self._now()))
 
     def run(self) -> None:
         """Look at free places and at the time, while requests wait."""
         while True:
             if not self._waiting:
-                self._arrived = eventlet.event.Event()
-                self._arrived.wait()
+                self._nonempty = eventlet.event.Event()
+                self._nonempty.wait()
             eventlet.sleep(placing.TICK)
             for kind in self._placer.backlog.list_kinds():
-                self._turn_away(kind)
-                self._give(self._placer.fill(kind, self._now()))
+                self._notify_rejected(kind)
+                self._notify_placed(self._placer.fill(kind, self._now()))
 
-    def _give(self, placements: abc.Iterable[placing.Placement]) -> None:
+    def _notify_placed(
+        self, placements: abc.Iterable[placing.Placement]
+    ) -> None:
         """Tell requests of their places."""
         for placement in placements:
             ticket, upstream = placement.ticket, placement.upstream
             waiting = self._waiting.pop(ticket)
-            waiting.placed = upstream
+            waiting.assigned = upstream
             waiting.request.inbox.put(requests.Placed(upstream))
             waited = self._now() - ticket.arrived
             self._meter.observe(_WAITED, waited, ticket.kind.model)
             self._log.write(
                 "placed",
-                request=waiting.request.attempt,
+                request=waiting.request.attempt_id,
                 upstream=upstream.id,
                 waited=round(waited, 4),
                 in_time=placement.in_time,
@@ -208,14 +216,14 @@
                 load=self._balancer.count_load(upstream.id),
                 behind=self._placer.backlog.count(ticket.kind),
             )
-            self.on_pressure()
+            self.on_high_load()
 
-    def _turn_away(self, kind: backlog.Kind) -> None:
+    def _notify_rejected(self, kind: backlog.Kind) -> None:
         """Tell requests that they will get no place in time."""
         for refusal in self._placer.turn_away(kind, self._now()):
             waiting = self._waiting.pop(refusal.ticket)
-            told = requests.TurnedAway(refusal.retry_after)
-            waiting.request.inbox.put(told)
+            message = requests.Rejected(refusal.retry_after)
+            waiting.request.inbox.put(message)
 
 
 def _ignore() -> None:
@@ -226,7 +234,7 @@
     return backlog.Kind(request.service.name, request.model or "")
 
 
-def _rank(request: requests.Request) -> int:
+def _get_rank(request: requests.Request) -> int:
     """Return a request's rank; its organisation's goes before its route's."""
     organisation = request.organisation
     if organisation is not None and organisation.priority is not None:
--- a/currantwall/transport/requests.py
+++ b/currantwall/transport/requests.py
@@ -12,18 +12,18 @@
 from currantwall.transport import ingress
 
 __all__ = [
-    "CallerLeft",
-    "Cut",
-    "Left",
+    "Attempt",
+    "CallerDisconnected",
+    "Disconnected",
     "Placed",
     "Refused",
+    "Rejected",
     "Request",
-    "Try",
-    "TurnedAway",
+    "StreamAborted",
 ]
 
 
-class Left(msgspec.Struct, frozen=True):
+class Disconnected(msgspec.Struct, frozen=True):
     """The caller has closed its connection."""
 
 
@@ -33,17 +33,17 @@
     upstream: upstreams.Upstream
 
 
-class TurnedAway(msgspec.Struct, frozen=True):
+class Rejected(msgspec.Struct, frozen=True):
     """No place will be found in time for a request that waits."""
 
     retry_after: float
 
 
-class CallerLeft(Exception):  # noqa: N818
+class CallerDisconnected(Exception):  # noqa: N818
     """The caller closed its connection."""
 
 
-class Cut(Exception):  # noqa: N818
+class StreamAborted(Exception):  # noqa: N818
     """A stream ends without its last event."""
 
 
@@ -73,39 +73,41 @@
     """
 
     inbound: ingress.Inbound
-    attempt: str
+    attempt_id: str
     route: routes.Route
     service: routes.Service
     model: str | None
     organisation: routes.Organisation | None
-    limit: float
-    budget: float | None
+    deadline: float
+    caller_timeout: float | None
     version: int
     inbox: eventlet.queue.LightQueue
     progress: attempts.Progress
     tried: set[str]
     last_event: str = ""
     watcher: typing.Any = None
-    left: bool = False
-    first: float | None = None
-    pause: float = 0.0
-    told: float = 0.0
+    disconnected: bool = False
+    first_event_after: float | None = None
+    longest_pause: float = 0.0
+    last_event_at: float = 0.0
 
     def note_events(self, now: float) -> None:
         """Note that events go to the caller."""
-        if self.first is None:
-            self.first = now - self.inbound.received
+        if self.first_event_after is None:
+            self.first_event_after = now - self.inbound.received
         else:
-            self.pause = max(self.pause, now - self.told)
-        self.told = now
+            self.longest_pause = max(
+                self.longest_pause, now - self.last_event_at
+            )
+        self.last_event_at = now
 
 
-class Try(msgspec.Struct, kw_only=True):
+class Attempt(msgspec.Struct, kw_only=True):
     """One attempt at one upstream."""
 
     upstream: upstreams.Upstream
     exchange: exchanges.Exchange
-    sent: float
-    heard: float
+    sent_at: float
+    last_message_at: float
     head: exchanges.Head | None = None
-    noted: bool = False
+    is_ended: bool = False
--- a/currantwall/transport/sending.py
+++ b/currantwall/transport/sending.py
@@ -25,7 +25,7 @@
 from currantwall.transport import queues
 from currantwall.transport import requests
 
-__all__ = ["ANSWERS", "Sender", "keep_headers"]
+__all__ = ["ANSWERS", "Sender", "drop_hop_headers"]
 
 Failure = attempts.Failure
 Verdict = attempts.Verdict
@@ -35,12 +35,12 @@
 _ATTEMPTS_FAILED = "currantwall.attempts.failed"
 _DURATION = "currantwall.answers.duration"
 # Seconds between two looks for an upstream in the middle of a stream.
-_LOOK_AGAIN = 0.05
+_CHOOSE_INTERVAL = 0.05
 # Seconds by which a caller's time is shortened on the way to an upstream,
 # so that what is left there is never more than the caller's.
-_WAY_BACK = 0.004
+_BUDGET_MARGIN = 0.004
 # Ranks of requests at an engine, from 0 (first) to 9.
-_RANK_BROKEN = 1
+_RANK_RESUMED = 1
 _RANK_IN_TIME = 4
 _RANK_LATE = 7
 # Status of a server that a request was not meant for.
@@ -79,79 +79,83 @@
         self.names = names
         self.now = now
         self.fleet_age: typing.Callable[[float], float] = lambda _: 0.0
-        self.on_doubt: typing.Callable[[ids.InstanceId], None] = _ignore
+        self.on_probe_requested: typing.Callable[[ids.InstanceId], None] = (
+            _ignore
+        )
         self._balancer = balancer
         self._budget = budget
         self._connections = connections
         self._queue = queue
         self._meter = meter
         self._log = log
-        self._numbers = itertools.count(1)
+        self._exchange_numbers = itertools.count(1)
         # When each upstream last sent anything to this node.
-        self._pulse: dict[ids.InstanceId, float] = {}
+        self._last_message_times: dict[ids.InstanceId, float] = {}
         # Attempts under way at each upstream, by its life, with who waits
         # for them.
         self._active: dict[str, dict[int, eventlet.queue.LightQueue]] = {}
 
-    def begin(self, request: requests.Request) -> None:
+    def note_request(self, request: requests.Request) -> None:
         """Count a request of a caller."""
         self._budget.note_request(
             request.service.name, request.inbound.received
         )
 
-    def get_pulse(self, instance: ids.InstanceId) -> float:
+    def get_last_message_time(self, instance: ids.InstanceId) -> float:
         """Return when an upstream last sent anything to this node."""
-        return self._pulse.get(instance, 0.0)
+        return self._last_message_times.get(instance, 0.0)
 
     def forget(self, present: typing.Container[ids.InstanceId]) -> None:
         """Forget upstreams that are no longer listed."""
-        for instance in list(self._pulse):
+        for instance in list(self._last_message_times):
             if instance not in present:
-                del self._pulse[instance]
+                del self._last_message_times[instance]
 
     def send(
         self, request: requests.Request, wait: float = 0.0
-    ) -> requests.Try:
+    ) -> requests.Attempt:
         """Start the next attempt, or refuse."""
         if request.model is not None and not request.progress.runs:
-            return self._send_in_turn(request)
-        deadline = min(self.now() + wait, request.limit)
+            return self._send_queued(request)
+        deadline = min(self.now() + wait, request.deadline)
         while True:
             now = self.now()
             chosen = self._balancer.choose(
                 request.service.name,
                 request.model,
                 request.tried,
-                f"{request.attempt}{request.progress.sends}",
+                f"{request.attempt_id}{request.progress.sends}",
                 now,
             )
             if isinstance(chosen, upstreams.Upstream):
                 self._balancer.begin(chosen.id)
-                return self._start(request, chosen, now)
-            if now + _LOOK_AGAIN >= deadline or request.left:
-                raise self.end(request, chosen.reason, chosen.retry_after)
-            eventlet.sleep(_LOOK_AGAIN)
-
-    def _send_in_turn(self, request: requests.Request) -> requests.Try:
+                return self._start_attempt(request, chosen, now)
+            if now + _CHOOSE_INTERVAL >= deadline or request.disconnected:
+                raise self.make_refusal(
+                    request, chosen.reason, chosen.retry_after
+                )
+            eventlet.sleep(_CHOOSE_INTERVAL)
+
+    def _send_queued(self, request: requests.Request) -> requests.Attempt:
         """Start an attempt once a replica has room for it.
 
         A stream that broke off does not wait again: its caller has a
         part of it, and each further moment is a pause.
         """
         try:
-            chosen = self._queue.place(request)
-        except requests.CallerLeft:
-            raise self.end(request, "the caller left", 0.0) from None
+            chosen = self._queue.acquire_slot(request)
+        except requests.CallerDisconnected:
+            raise self.make_refusal(request, "the caller left", 0.0) from None
         if isinstance(chosen, balancing.Unavailable):
-            raise self.end(request, chosen.reason, chosen.retry_after)
-        return self._start(request, chosen, self.now())
+            raise self.make_refusal(request, chosen.reason, chosen.retry_after)
+        return self._start_attempt(request, chosen, self.now())
 
-    def _start(
+    def _start_attempt(
         self,
         request: requests.Request,
         upstream: upstreams.Upstream,
         now: float,
-    ) -> requests.Try:
+    ) -> requests.Attempt:
         request.progress.sends += 1
         request.tried.add(upstream.life)
         inbound = request.inbound
@@ -159,13 +163,13 @@
             method=inbound.method,
             target=inbound.target,
             headers=self._make_headers(request, upstream, now),
-            body=inbound.body or _empty_body(inbound),
-            attempt=request.attempt,
-            timeout=max(0.05, request.limit - now),
-            fresh=not request.route.is_idempotent,
+            body=inbound.body or _make_empty_body(inbound),
+            attempt_id=request.attempt_id,
+            timeout=max(0.05, request.deadline - now),
+            new_only=not request.route.is_idempotent,
         )
         exchange = exchanges.Exchange(
-            next(self._numbers),
+            next(self._exchange_numbers),
             upstream.id,
             upstream.address,
             outbound,
@@ -175,25 +179,32 @@
         )
         active = self._active.setdefault(upstream.life, {})
         active[exchange.number] = request.inbox
-        return requests.Try(
-            upstream=upstream, exchange=exchange, sent=now, heard=now
+        return requests.Attempt(
+            upstream=upstream,
+            exchange=exchange,
+            sent_at=now,
+            last_message_at=now,
         )
 
     def note_first(
-        self, request: requests.Request, current: requests.Try
+        self, request: requests.Request, current: requests.Attempt
     ) -> None:
         """Note the first event of an attempt."""
-        self._queue.note_first(request, current.heard - current.sent)
+        self._queue.note_first(
+            request, current.last_message_at - current.sent_at
+        )
 
-    def note_pause(self, current: requests.Try, seconds: float) -> None:
+    def note_pause(self, current: requests.Attempt, seconds: float) -> None:
         """Note the time between two events of an attempt."""
-        self._balancer.note_pause(current.upstream.id, seconds, current.heard)
+        self._balancer.note_pause(
+            current.upstream.id, seconds, current.last_message_at
+        )
 
-    def note_success(self, current: requests.Try) -> None:
+    def note_success(self, current: requests.Attempt) -> None:
         """Note an attempt that ended in order."""
         self._balancer.note_success(current.upstream.id)
 
-    def give_up(self, life: str) -> None:
+    def abort_attempts(self, life: str) -> None:
         """End all attempts at a leader whose replica has lost a member.
 
         Failure: such a leader stalls for seconds without a word; what
@@ -211,52 +222,56 @@
         now: float,
     ) -> tuple[tuple[str, str], ...]:
         names = self.names
-        set_here = {
+        replaced = {
             names.budget.lower(),
             names.instance.lower(),
             names.organisation.lower(),
             names.last_event.lower(),
         }
         if request.model is not None:
-            set_here.add(names.priority.lower())
+            replaced.add(names.priority.lower())
         if request.organisation is not None or not request.route.public:
-            set_here.add("authorization")
-        listed = request.inbound.headers.get("connection", "")
-        hop = {one.strip().lower() for one in listed.split(",") if one.strip()}
-        found = [
+            replaced.add("authorization")
+        connection = request.inbound.headers.get("connection", "")
+        hop_by_hop = {
+            option.strip().lower()
+            for option in connection.split(",")
+            if option.strip()
+        }
+        headers = [
             (name, value)
             for name, value in request.inbound.headers.iteritems()
             if name.lower() not in _HOP_HEADERS
-            and name.lower() not in set_here
-            and name.lower() not in hop
+            and name.lower() not in replaced
+            and name.lower() not in hop_by_hop
         ]
-        left = request.limit - now - _WAY_BACK
-        found.append((names.budget, str(max(1, int(left * 1000)))))
-        found.append((names.instance, upstream.id))
+        remaining = request.deadline - now - _BUDGET_MARGIN
+        headers.append((names.budget, str(max(1, int(remaining * 1000)))))
+        headers.append((names.instance, upstream.id))
         if request.model is not None:
-            found.append((names.priority, str(self._rank(request))))
+            headers.append((names.priority, str(self._choose_rank(request))))
         if request.organisation is not None:
-            found.append((names.organisation, request.organisation.name))
+            headers.append((names.organisation, request.organisation.name))
         if request.last_event:
-            found.append((names.last_event, request.last_event))
-        return tuple(found)
+            headers.append((names.last_event, request.last_event))
+        return tuple(headers)
 
-    def _rank(self, request: requests.Request) -> int:
+    def _choose_rank(self, request: requests.Request) -> int:
         """Return a request's rank at an engine, which admits by it.
 
         A stream that broke off goes before all others: its caller has a
         part of it and waits for the next event.
         """
         if request.progress.runs:
-            return _RANK_BROKEN
+            return _RANK_RESUMED
         if self._queue.is_late(request):
             return _RANK_LATE
         return _RANK_IN_TIME
 
-    def finish(self, current: requests.Try) -> None:
+    def end_attempt(self, current: requests.Attempt) -> None:
         """Count an attempt out, once."""
-        if not current.noted:
-            current.noted = True
+        if not current.is_ended:
+            current.is_ended = True
             self._balancer.end(current.upstream.id)
             life = current.upstream.life
             active = self._active.get(life, {})
@@ -265,17 +280,17 @@
                 self._active.pop(life, None)
             self._queue.note_end(current.upstream)
 
-    def fail(
+    def fail_attempt(
         self,
         request: requests.Request,
-        current: requests.Try,
+        current: requests.Attempt,
         failure: Failure,
         why: str,
     ) -> None:
         """Note a failed attempt; refuse if it was the last one."""
         now = self.now()
         current.exchange.cancel()
-        self.finish(current)
+        self.end_attempt(current)
         if failure.may_have_run:
             request.progress.runs += 1
         if failure is Failure.NOT_RUN:
@@ -288,7 +303,7 @@
         if failure is Failure.LOST and current.upstream.seat is None:
             self._balancer.note_lost_answer(current.upstream.id, now)
         if failure is Failure.STALLED or failure is Failure.UNREACHED:
-            self.on_doubt(current.upstream.id)
+            self.on_probe_requested(current.upstream.id)
         verdict = attempts.decide(request.route, failure, request.progress)
         if verdict is Verdict.REPEAT_PAID and not self._budget.take(
             request.service.name, now
@@ -297,7 +312,7 @@
         self._meter.add(_ATTEMPTS_FAILED, 1, failure.value)
         self._log.write(
             "attempt_failed",
-            request=request.attempt,
+            request=request.attempt_id,
             route=request.route.name,
             upstream=current.upstream.id,
             replica=current.upstream.seat.replica
@@ -305,18 +320,18 @@
             else None,
             failure=failure.value,
             why=why,
-            after=round(now - current.sent, 4),
+            after=round(now - current.sent_at, 4),
             list_age=round(self.fleet_age(now), 3),
             verdict=verdict.value,
         )
         if verdict is Verdict.GIVE_UP:
-            raise self.end(request, why, 0.3)
+            raise self.make_refusal(request, why, 0.3)
 
-    def end(
+    def make_refusal(
         self, request: requests.Request, why: str, retry_after: float
     ) -> requests.Refused:
         """Return the final answer of a request without one."""
-        in_time = self.now() < request.limit
+        in_time = self.now() < request.deadline
         ending = attempts.choose_ending(request.progress, in_time)
         if ending is attempts.Ending.REFUSED:
             return requests.Refused(503, why, retry_after)
@@ -324,8 +339,11 @@
             return requests.Refused(502, why)
         return requests.Refused(504, why)
 
-    def next_message(
-        self, request: requests.Request, current: requests.Try, until: float
+    def receive_message(
+        self,
+        request: requests.Request,
+        current: requests.Attempt,
+        until: float,
     ) -> typing.Any:
         """Return the next message of an attempt, None at the time given."""
         while True:
@@ -334,42 +352,44 @@
                 message = request.inbox.get(timeout=max(wait, 0.0))
             except eventlet.queue.Empty:
                 return None
-            if isinstance(message, requests.Left):
-                raise requests.CallerLeft
+            if isinstance(message, requests.Disconnected):
+                raise requests.CallerDisconnected
             if message.exchange == current.exchange.number:
-                current.heard = self.now()
-                self._pulse[current.upstream.id] = current.heard
+                current.last_message_at = self.now()
+                self._last_message_times[current.upstream.id] = (
+                    current.last_message_at
+                )
                 return message
 
-    def may_go_on(self, request: requests.Request) -> bool:
+    def may_retry(self, request: requests.Request) -> bool:
         """Return whether a failed answer may be tried elsewhere."""
         route = request.route
         return route.is_idempotent and (
             request.progress.runs + 1 < route.attempts
         )
 
-    def end_silence(
-        self, request: requests.Request, current: requests.Try
+    def fail_stalled(
+        self, request: requests.Request, current: requests.Attempt
     ) -> None:
         """Note an attempt that was silent for too long."""
-        if self.now() < request.limit:
-            self.fail(request, current, Failure.STALLED, "silent")
+        if self.now() < request.deadline:
+            self.fail_attempt(request, current, Failure.STALLED, "silent")
             return
         current.exchange.cancel()
-        self.finish(current)
+        self.end_attempt(current)
         request.progress.runs += 1
-        raise self.end(request, "time is up", 0.0)
+        raise self.make_refusal(request, "time is up", 0.0)
 
-    def note_broken(
+    def fail_interrupted(
         self,
         request: requests.Request,
-        current: requests.Try,
+        current: requests.Attempt,
         failed: exchanges.Failed,
     ) -> None:
         """Note an attempt that broke off."""
-        failure = Failure.LOST if failed.sent else Failure.UNREACHED
+        failure = Failure.LOST if failed.may_have_sent else Failure.UNREACHED
         why = f"{failed.step}: {failed.detail}"
-        self.fail(request, current, failure, why)
+        self.fail_attempt(request, current, failure, why)
 
     def classify(
         self, head: exchanges.Head, request: requests.Request
@@ -380,7 +400,7 @@
             return Failure.MISDIRECTED
         if head.headers.get(names.not_run) is not None:
             return Failure.NOT_RUN
-        if head.headers.get(names.attempt) != request.attempt:
+        if head.headers.get(names.attempt) != request.attempt_id:
             return Failure.LOST
         if names.seal.lower() not in head.headers:
             return Failure.LOST
@@ -391,28 +411,31 @@
         return None
 
     def deliver(
-        self, request: requests.Request, current: requests.Try, reply: Reply
+        self,
+        request: requests.Request,
+        current: requests.Attempt,
+        reply: Reply,
     ) -> Reply:
         """Note an upstream's answer and return it."""
         request.watcher.kill()
-        self.finish(current)
+        self.end_attempt(current)
         if reply.status < 500:
             self._balancer.note_success(current.upstream.id)
         self.note_answer(request, current, reply.status)
         return reply
 
     def abandon(
-        self, request: requests.Request, current: requests.Try
+        self, request: requests.Request, current: requests.Attempt
     ) -> Reply:
         """End the work for a caller that has left."""
         current.exchange.cancel()
-        self.finish(current)
+        self.end_attempt(current)
         request.watcher.kill()
         self.note_answer(request, current, 0)
         return Reply(status=503, headers=[], body=b"", close=True)
 
     def note_answer(
-        self, request: requests.Request, current: requests.Try, status: int
+        self, request: requests.Request, current: requests.Attempt, status: int
     ) -> None:
         """Count and log the end of a request; status 0 for none."""
         now = self.now()
@@ -421,14 +444,16 @@
         self._meter.observe(_DURATION, spent, request.route.kind.value)
         self._log.write(
             "answered" if status else "ended_early",
-            request=request.attempt,
+            request=request.attempt_id,
             route=request.route.name,
             upstream=current.upstream.id,
             status=status,
-            left=request.left,
-            late=_explain_lateness(request, spent),
-            first=round(request.first, 4) if request.first else None,
-            pause=round(request.pause, 4),
+            left=request.disconnected,
+            late=_describe_lateness(request, spent),
+            first=round(request.first_event_after, 4)
+            if request.first_event_after
+            else None,
+            pause=round(request.longest_pause, 4),
             sends=request.progress.sends,
             spent=round(spent, 4),
             version=request.version,
@@ -436,32 +461,42 @@
         )
 
 
-def _explain_lateness(request: requests.Request, spent: float) -> str | None:
+def _describe_lateness(request: requests.Request, spent: float) -> str | None:
     """Return what made an answer late, in a word; None if it was on time."""
-    first = spent if request.first is None else request.first
-    found = attempts.find_lateness(request.route, first, request.pause)
-    return found.value if found else None
+    first = (
+        spent
+        if request.first_event_after is None
+        else request.first_event_after
+    )
+    lateness = attempts.find_lateness(
+        request.route, first, request.longest_pause
+    )
+    return lateness.value if lateness else None
 
 
 def _ignore(_: ids.InstanceId) -> None:
     return
 
 
-def _empty_body(inbound: ingress.Inbound) -> bytes | None:
+def _make_empty_body(inbound: ingress.Inbound) -> bytes | None:
     """Return an empty body where the caller sent one, else none."""
-    framed = "content-length" in inbound.headers
-    framed = framed or "transfer-encoding" in inbound.headers
-    return b"" if framed else None
+    has_body = "content-length" in inbound.headers
+    has_body = has_body or "transfer-encoding" in inbound.headers
+    return b"" if has_body else None
 
 
-def keep_headers(
+def drop_hop_headers(
     headers: urllib3.HTTPHeaderDict,
 ) -> list[tuple[str, str]]:
     """Return the headers of an answer that concern the caller."""
-    listed = headers.get("connection", "")
-    hop = {one.strip().lower() for one in listed.split(",") if one.strip()}
+    connection = headers.get("connection", "")
+    hop_by_hop = {
+        option.strip().lower()
+        for option in connection.split(",")
+        if option.strip()
+    }
     return [
         (name, value)
         for name, value in headers.iteritems()
-        if name.lower() not in _HOP_HEADERS and name.lower() not in hop
+        if name.lower() not in _HOP_HEADERS and name.lower() not in hop_by_hop
     ]
--- a/currantwall/transport/streams.py
+++ b/currantwall/transport/streams.py
@@ -20,7 +20,7 @@
 
 # Seconds a stream may pause while no upstream is left to go on with it;
 # callers leave after two seconds without an event.
-_PAUSE_LIMIT = 1.6
+_RESUME_TIMEOUT = 1.6
 _STREAM_TYPE = "text/event-stream"
 
 
@@ -38,7 +38,7 @@
                     request, self._choose_wait(request)
                 )
                 first = self._await_first(request, current)
-            except requests.CallerLeft:
+            except requests.CallerDisconnected:
                 return self._sender.abandon(request, current)
             if first is None:
                 continue
@@ -48,7 +48,7 @@
             splitter, ready, ended = first
             return Reply(
                 status=current.head.status,
-                headers=sending.keep_headers(current.head.headers),
+                headers=sending.drop_hop_headers(current.head.headers),
                 body=self._relay(request, current, splitter, ready, ended),
             )
 
@@ -60,16 +60,16 @@
         its stream may go on elsewhere, waiting for a replica to be mended
         serves its caller better than a failure.
         """
-        return _PAUSE_LIMIT if request.progress.runs else 0.0
+        return _RESUME_TIMEOUT if request.progress.runs else 0.0
 
     def _await_first(
-        self, request: requests.Request, current: requests.Try
+        self, request: requests.Request, current: requests.Attempt
     ) -> "Reply | tuple[events.Splitter, list[events.Event], bool] | None":
         """Return what an attempt begins with, None if it failed."""
         splitter = events.Splitter()
-        whole: list[bytes] | None = None
+        plain_body: list[bytes] | None = None
         while True:
-            message = self._next_message(request, current, None)
+            message = self._receive_message(request, current, None)
             if message is None:
                 return None
             if isinstance(message, exchanges.Head):
@@ -77,80 +77,93 @@
                 failure = self._sender.classify(message, request)
                 if failure is not None and (
                     failure is not Failure.ERROR
-                    or self._sender.may_go_on(request)
+                    or self._sender.may_retry(request)
                 ):
                     why = f"status {message.status}"
-                    self._sender.fail(request, current, failure, why)
+                    self._sender.fail_attempt(request, current, failure, why)
                     return None
-                kind = message.headers.get("content-type", "")
-                if message.status != 200 or not kind.startswith(_STREAM_TYPE):
-                    whole = []
+                content_type = message.headers.get("content-type", "")
+                if message.status != 200 or not content_type.startswith(
+                    _STREAM_TYPE
+                ):
+                    plain_body = []
             elif isinstance(message, exchanges.Data):
-                if whole is not None:
-                    whole.append(message.data)
+                if plain_body is not None:
+                    plain_body.append(message.data)
                     continue
                 ready = splitter.feed(message.data)
                 if ready:
                     self._sender.note_first(request, current)
                     return splitter, ready, False
-            elif whole is not None:
+            elif plain_body is not None:
                 assert current.head is not None
                 return Reply(
                     status=current.head.status,
-                    headers=sending.keep_headers(current.head.headers),
-                    body=b"".join(whole),
+                    headers=sending.drop_hop_headers(current.head.headers),
+                    body=b"".join(plain_body),
                 )
             else:
                 return splitter, [], True
 
-    def _next_message(
+    def _receive_message(
         self,
         request: requests.Request,
-        current: requests.Try,
-        gap: float | None,
+        current: requests.Attempt,
+        stall_timeout: float | None,
     ) -> typing.Any:
         """Return the next message of a stream, None if it failed.
 
         Args:
             request: The request.
             current: The attempt that is under way.
-            gap: Seconds of silence that count as a stall; None before
+            stall_timeout: Seconds of silence that count as a stall; None before
                 the first event.
         """
-        patience = gap or attempts.get_first_event_timeout(request.route)
-        doubt = attempts.PROBE_DELAY if gap else attempts.FIRST_PROBE_DELAY
-        if not self._sender.may_go_on(request):
-            patience = None
-        doubted = False
+        timeout = stall_timeout or attempts.get_first_event_timeout(
+            request.route
+        )
+        probe_delay = (
+            attempts.PROBE_DELAY
+            if stall_timeout
+            else attempts.FIRST_PROBE_DELAY
+        )
+        if not self._sender.may_retry(request):
+            timeout = None
+        probe_requested = False
         while True:
             now = self._sender.now()
-            start = current.heard
-            if gap is None:
+            silent_since = current.last_message_at
+            if stall_timeout is None:
                 # Before the first event others tell whether it works.
-                pulse = self._sender.get_pulse(current.upstream.id)
-                start = max(start, pulse)
-            until = request.limit
-            if patience is not None:
-                until = min(until, start + patience)
+                last_message = self._sender.get_last_message_time(
+                    current.upstream.id
+                )
+                silent_since = max(silent_since, last_message)
+            until = request.deadline
+            if timeout is not None:
+                until = min(until, silent_since + timeout)
             if now >= until:
-                self._sender.end_silence(request, current)
+                self._sender.fail_stalled(request, current)
                 return None
-            if not doubted:
-                until = min(until, max(start + doubt, now))
-            message = self._sender.next_message(request, current, until)
+            if not probe_requested:
+                until = min(until, max(silent_since + probe_delay, now))
+            message = self._sender.receive_message(request, current, until)
             if isinstance(message, exchanges.Failed):
-                self._sender.note_broken(request, current, message)
+                self._sender.fail_interrupted(request, current, message)
                 return None
             if message is not None:
                 return message
-            if not doubted and self._sender.now() >= start + doubt:
-                doubted = True
-                self._sender.on_doubt(current.upstream.id)
+            if (
+                not probe_requested
+                and self._sender.now() >= silent_since + probe_delay
+            ):
+                probe_requested = True
+                self._sender.on_probe_requested(current.upstream.id)
 
     def _relay(
         self,
         request: requests.Request,
-        current: requests.Try,
+        current: requests.Attempt,
         splitter: events.Splitter,
         ready: list[events.Event],
         ended: bool,
@@ -160,43 +173,49 @@
         status = 200
         try:
             while True:
-                fresh = [one for one in ready if self._is_next(request, one)]
-                if fresh:
-                    request.last_event = fresh[-1].id or request.last_event
+                new_events = [
+                    event for event in ready if self._is_new(request, event)
+                ]
+                if new_events:
+                    request.last_event = (
+                        new_events[-1].id or request.last_event
+                    )
                     request.note_events(self._sender.now())
-                    yield b"".join(one.data for one in fresh)
+                    yield b"".join(event.data for event in new_events)
                 if ended:
                     if splitter.rest:
                         yield splitter.rest
                     return
-                before = current.heard
-                message = self._next_message(
+                previous = current.last_message_at
+                message = self._receive_message(
                     request, current, attempts.STALL_TIMEOUT
                 )
                 if message is None:
                     current, splitter, ready, ended = self._resume(request)
                 elif isinstance(message, exchanges.Data):
-                    self._sender.note_pause(current, current.heard - before)
+                    self._sender.note_pause(
+                        current, current.last_message_at - previous
+                    )
                     ready = splitter.feed(message.data)
                 else:
                     ready, ended = [], True
-        except (requests.Refused, requests.CallerLeft) as error:
+        except (requests.Refused, requests.CallerDisconnected) as error:
             status = 0
             current.exchange.cancel()
-            raise requests.Cut(str(error)) from None
+            raise requests.StreamAborted(str(error)) from None
         except GeneratorExit:
             status = 0
             current.exchange.cancel()
             raise
         finally:
             request.watcher.kill()
-            self._sender.finish(current)
+            self._sender.end_attempt(current)
             if status:
                 self._sender.note_success(current)
             self._sender.note_answer(request, current, status)
 
     @staticmethod
-    def _is_next(request: requests.Request, event: events.Event) -> bool:
+    def _is_new(request: requests.Request, event: events.Event) -> bool:
         """Return whether the caller lacks an event."""
         last = request.last_event
         if last.isdecimal() and event.id.isdecimal():
@@ -205,9 +224,9 @@
 
     def _resume(
         self, request: requests.Request
-    ) -> tuple[requests.Try, events.Splitter, list[events.Event], bool]:
+    ) -> tuple[requests.Attempt, events.Splitter, list[events.Event], bool]:
         """Go on with a stream at another upstream."""
-        until = self._sender.now() + _PAUSE_LIMIT
+        until = self._sender.now() + _RESUME_TIMEOUT
         while True:
             wait = max(0.0, until - self._sender.now())
             current = self._sender.send(request, wait)
@@ -215,9 +234,11 @@
                 first = self._await_first(request, current)
             except BaseException:
                 current.exchange.cancel()
-                self._sender.finish(current)
+                self._sender.end_attempt(current)
                 raise
             if isinstance(first, Reply):
-                self._sender.fail(request, current, Failure.ERROR, "no stream")
+                self._sender.fail_attempt(
+                    request, current, Failure.ERROR, "no stream"
+                )
             elif first is not None:
                 return current, *first
--- a/currantwall/transport/wholes.py
+++ b/currantwall/transport/wholes.py
@@ -24,61 +24,61 @@
 
     def serve(self, request: requests.Request) -> Reply:
         """Return a whole answer; an upstream's own failure is one."""
-        kept: Reply | None = None
+        error_reply: Reply | None = None
         while True:
             try:
                 current = self._sender.send(request)
                 outcome = self._await_answer(request, current)
                 if isinstance(outcome, Reply):
-                    failed = outcome.status >= 500
-                    if not failed:
+                    is_error = outcome.status >= 500
+                    if not is_error:
                         return self._sender.deliver(request, current, outcome)
-                    kept = outcome
-                    self._sender.fail(
+                    error_reply = outcome
+                    self._sender.fail_attempt(
                         request, current, Failure.ERROR, "its failure"
                     )
             except requests.Refused:
-                if kept is None:
+                if error_reply is None:
                     raise
-                return self._sender.deliver(request, current, kept)
-            except requests.CallerLeft:
+                return self._sender.deliver(request, current, error_reply)
+            except requests.CallerDisconnected:
                 return self._sender.abandon(request, current)
 
     def _await_answer(
-        self, request: requests.Request, current: requests.Try
+        self, request: requests.Request, current: requests.Attempt
     ) -> Reply | None:
         """Return an attempt's answer, or None once it was noted failed."""
-        patience = attempts.get_answer_timeout(request.route)
+        timeout = attempts.get_answer_timeout(request.route)
         parts: list[bytes] = []
-        until = request.limit
-        if patience is not None and request.progress.runs + 1 < (
+        until = request.deadline
+        if timeout is not None and request.progress.runs + 1 < (
             request.route.attempts
         ):
-            until = min(until, current.sent + patience)
+            until = min(until, current.sent_at + timeout)
         while True:
-            message = self._sender.next_message(request, current, until)
+            message = self._sender.receive_message(request, current, until)
             if message is None:
-                late = self._sender.now() >= request.limit - 0.002
-                request.progress.runs += 1 if late else 0
-                if late:
+                is_timed_out = self._sender.now() >= request.deadline - 0.002
+                request.progress.runs += 1 if is_timed_out else 0
+                if is_timed_out:
                     current.exchange.cancel()
-                    self._sender.finish(current)
-                    raise self._sender.end(request, "time is up", 0.0)
-                self._sender.fail(
+                    self._sender.end_attempt(current)
+                    raise self._sender.make_refusal(request, "time is up", 0.0)
+                self._sender.fail_attempt(
                     request, current, Failure.STALLED, "no answer"
                 )
                 return None
             if isinstance(message, exchanges.Failed):
-                self._sender.note_broken(request, current, message)
+                self._sender.fail_interrupted(request, current, message)
                 return None
             if isinstance(message, exchanges.Head):
-                until = request.limit
+                until = request.deadline
                 current.head = message
-                failure_ = self._sender.classify(message, request)
-                if failure_ not in (None, Failure.ERROR):
-                    assert failure_ is not None
+                failure = self._sender.classify(message, request)
+                if failure not in (None, Failure.ERROR):
+                    assert failure is not None
                     why = f"status {message.status}"
-                    self._sender.fail(request, current, failure_, why)
+                    self._sender.fail_attempt(request, current, failure, why)
                     return None
             elif isinstance(message, exchanges.Data):
                 parts.append(message.data)
@@ -86,6 +86,6 @@
                 assert current.head is not None
                 return Reply(
                     status=current.head.status,
-                    headers=sending.keep_headers(current.head.headers),
+                    headers=sending.drop_hop_headers(current.head.headers),
                     body=b"".join(parts),
                 )
