--- a/currantwall/transport/exchanges.py
+++ b/currantwall/transport/exchanges.py
@@ -1,8 +1,8 @@
 """One request to one upstream, run by a task of its own.
 
-The task owns the connection and tells what happens by messages into the
-inbox of whoever serves the caller. That one can so wait for several
-things at once: the answer, the caller's leaving and the time.
+The task owns the connection and reports by messages to the inbox of the
+task that serves the caller. That task can therefore wait for the answer,
+for the caller to disconnect and for a timeout at once.
 """
 
 import http.client
@@ -35,19 +35,20 @@
 
 _select = eventlet.patcher.original("select").select
 
-# Seconds to wait for a new connection. Between data centres the way there
-# and back takes 3 ms; a lost opening packet is repeated after a second.
+# Timeout of a new connection in seconds. The round trip between data
+# centres takes 3 ms; TCP sends a lost SYN again after a second.
 _CONNECT_TIMEOUT = 0.4
-# Milliseconds after which the kernel gives up unacknowledged bytes: shows
-# a peer that has vanished without a reset.
+# Milliseconds after which the kernel closes a connection with
+# unacknowledged bytes. Detects a peer that vanished without a reset.
 _USER_TIMEOUT_MS = 3000
-# Seconds an idle connection is kept where the upstream names none.
+# Seconds to keep an idle connection if the upstream sends no timeout.
 _DEFAULT_KEEP_ALIVE = 4.0
-# Seconds before the upstream's own limit at which it is not used again.
+# Seconds before the upstream's timeout at which an idle connection is no
+# longer reused, because the upstream may be about to close it.
 _KEEP_ALIVE_MARGIN = 1.0
-# Idle connections kept for each upstream.
+# Most idle connections kept for each upstream.
 _MAX_IDLE = 8
-# Messages that wait in an inbox before the upstream is held back.
+# Messages in an inbox above which the upstream is not read.
 _INBOX_LIMIT = 64
 _READ_SIZE = 65_536
 
@@ -59,9 +60,12 @@
 
     Attributes:
         target: Path and query, byte for byte as the caller sent them.
-        timeout: Seconds without a byte after which it is given up.
-        fresh: Whether it needs a connection of its own, so that a reset
-            is never the late end of a connection that was idle.
+        attempt_id: Id of the request, which the answer must repeat before
+            its connection is used again.
+        timeout: Seconds without a byte sent or received after which it
+            fails.
+        new_connection: Whether it needs a new connection, so that a reset
+            can't come from the upstream closing an idle connection.
     """
 
     method: str
@@ -70,7 +74,7 @@
     body: bytes | None
     attempt_id: str
     timeout: float
-    new_only: bool
+    new_connection: bool
 
 
 class Head(msgspec.Struct, frozen=True):
@@ -82,14 +86,14 @@
 
 
 class Data(msgspec.Struct, frozen=True):
-    """A part of the body."""
+    """Part of the body of an answer."""
 
     exchange: int
     data: bytes
 
 
 class End(msgspec.Struct, frozen=True):
-    """The body is complete."""
+    """The body of the answer is complete."""
 
     exchange: int
 
@@ -98,7 +102,9 @@
     """The exchange broke off.
 
     Attributes:
-        sent: Whether a part of the request may have reached the upstream.
+        may_have_sent: Whether part of the request may have reached the
+            upstream.
+        step: What failed: connect, send, head or body.
     """
 
     exchange: int
@@ -113,7 +119,11 @@
 
 
 class Connections:
-    """Owns the idle connections to upstreams."""
+    """Pool of idle connections to upstreams.
+
+    Attributes:
+        opened: Number of connections opened so far.
+    """
 
     def __init__(self, now: typing.Callable[[], float]) -> None:
         self._now = now
@@ -121,10 +131,20 @@
         self.opened = 0
 
     def take(
-        self, instance: ids.InstanceId, address: str, new_only: bool
+        self, instance: ids.InstanceId, address: str, new_connection: bool
     ) -> urllib3.connection.HTTPConnection:
-        """Return a connected connection; raises `OSError` and the like."""
-        while not new_only and self._idle.get(instance):
+        """Return an idle connection, or a new one.
+
+        Args:
+            instance: The upstream.
+            address: Its host and port.
+            new_connection: Whether to open a new one in any case.
+
+        Raises:
+            OSError: The connection failed.
+            urllib3.exceptions.HTTPError: The same, found by urllib3.
+        """
+        while not new_connection and self._idle.get(instance):
             idle = self._idle[instance].pop()
             if self._now() < idle.expires_at and is_quiet(idle.connection):
                 return idle.connection
@@ -139,27 +159,33 @@
         connection: urllib3.connection.HTTPConnection,
         keep_alive: float,
     ) -> None:
-        """Keep a connection whose answer was read to its end."""
-        held = self._idle.setdefault(instance, [])
-        if keep_alive <= 0 or len(held) >= _MAX_IDLE:
+        """Return a connection to the pool.
+
+        Args:
+            instance: The upstream.
+            connection: A connection whose answer was read to its end.
+            keep_alive: Seconds for which it may be used.
+        """
+        connections = self._idle.setdefault(instance, [])
+        if keep_alive <= 0 or len(connections) >= _MAX_IDLE:
             connection.close()
             return
-        held.append(_Idle(connection, self._now() + keep_alive))
+        connections.append(_Idle(connection, self._now() + keep_alive))
 
     def forget(self, present: typing.Container[ids.InstanceId]) -> None:
-        """Close what is idle to upstreams that are gone, or for long."""
+        """Close expired connections and those to upstreams that are gone."""
         now = self._now()
-        for instance, held in list(self._idle.items()):
-            kept = [
+        for instance, connections in list(self._idle.items()):
+            reusable = [
                 idle
-                for idle in held
+                for idle in connections
                 if instance in present and now < idle.expires_at
             ]
-            for idle in held:
-                if idle not in kept:
+            for idle in connections:
+                if idle not in reusable:
                     idle.connection.close()
-            if kept:
-                self._idle[instance] = kept
+            if reusable:
+                self._idle[instance] = reusable
             else:
                 del self._idle[instance]
 
@@ -167,7 +193,12 @@
 def open_connection(
     address: str, timeout: float
 ) -> urllib3.connection.HTTPConnection:
-    """Return a new connection to an address."""
+    """Open a connection to an address.
+
+    Args:
+        address: Host and port.
+        timeout: Timeout of the connect in seconds.
+    """
     host, _, port = address.rpartition(":")
     connection = urllib3.connection.HTTPConnection(
         host,
@@ -184,7 +215,7 @@
 
 
 class Exchange:
-    """One request on its way to one upstream."""
+    """One request to one upstream, sent by a task of its own."""
 
     def __init__(
         self,
@@ -208,7 +239,7 @@
         self._task = eventlet.spawn(self._run)
 
     def cancel(self) -> None:
-        """Give up; the upstream sees its connection close."""
+        """Stop the task and close the connection to the upstream."""
         self._task.kill()
         self._close()
 
@@ -221,7 +252,7 @@
         step = "connect"
         try:
             self._connection = self._connections.take(
-                self._instance, self._address, self._outbound.new_only
+                self._instance, self._address, self._outbound.new_connection
             )
             step = "send"
             self._send()
@@ -280,7 +311,7 @@
             self._put(Data(self.number, data))
 
     def _finish(self, response: urllib3.HTTPResponse) -> None:
-        """Keep the connection if it may carry another request."""
+        """Return the connection to the pool if it can be reused."""
         connection = self._connection
         if connection is None or connection.sock is None:
             return
@@ -299,8 +330,9 @@
 def is_quiet(connection: urllib3.connection.HTTPConnection) -> bool:
     """Return whether nothing has arrived on an idle connection.
 
-    Failure: an upstream sends a second answer late, or has closed the
-    connection; the next request on it would get that answer or be lost.
+    Failure: the upstream has sent a second answer or closed the connection
+    while it was idle. The next request on it would get that answer, or
+    would be lost.
     """
     if connection.sock is None or connection.sock.fileno() < 0:
         return False
@@ -309,7 +341,7 @@
 
 
 def read_keep_alive(headers: urllib3.HTTPHeaderDict) -> float:
-    """Return the seconds for which an idle connection may be used."""
+    """Return the seconds for which an idle connection may be reused."""
     if headers.get("connection", "").lower() == "close":
         return 0.0
     for parameter in headers.get("keep-alive", "").split(","):
--- a/currantwall/transport/forwarding.py
+++ b/currantwall/transport/forwarding.py
@@ -1,7 +1,8 @@
-"""The way of a caller's request through a gateway.
+"""Handling of a caller's request by a gateway.
 
-It is admitted by the configuration in force (route, key, service), sent
-(`sending`) and answered whole (`wholes`) or by events (`streams`).
+The configuration in force admits the request (route, key, service). It
+is then sent to an upstream (`sending`), and answered whole (`wholes`) or
+by an event stream (`streams`).
 """
 
 import socket
@@ -25,16 +26,22 @@
 
 Reply = ingress.Reply
 
-# Part of the caller's remaining time that a hint to come back may take.
+# Largest part of a caller's remaining time that `Retry-After` may ask for.
 _MAX_RETRY_AFTER_SHARE = 0.3
-# Messages from upstreams that wait before an upstream is held back.
+# Messages in a request's inbox above which its upstream is not read.
 _INBOX_LIMIT = 64
-# Seconds between two looks at a caller that has sent bytes ahead.
+# Seconds between two checks of a caller that has pipelined more bytes.
 _PEEK_INTERVAL = 0.05
 
 
 class Forwarder:
-    """Answers callers' requests."""
+    """Answers callers' requests.
+
+    Attributes:
+        table: The configuration in force; None before the first one.
+        is_stopping: Whether new requests are refused because the process
+            is about to end.
+    """
 
     def __init__(
         self,
@@ -43,7 +50,6 @@
         log: journal.Journal,
     ) -> None:
         self.table: routes.RouteTable | None = None
-        # Whether the process is about to end.
         self.is_stopping = False
         self._sender = sender
         self._started_at = sender.now()
@@ -60,7 +66,7 @@
         return self.table is not None
 
     def end_start_hold(self) -> None:
-        """Let requests through that wait for the end of the start."""
+        """Release the requests that were held until the node is ready."""
         if not self._start_ended.ready():
             self._start_ended.send(None)
 
@@ -72,7 +78,7 @@
             self._start_ended.wait()
 
     def serve(self, inbound: ingress.Inbound) -> Reply:
-        """Answer one request."""
+        """Return the answer to a request."""
         self._wait_for_start()
         attempt_id = inbound.headers.get(self._names.attempt, "")
         try:
@@ -98,7 +104,11 @@
     def _admit(
         self, inbound: ingress.Inbound, attempt_id: str
     ) -> requests.Request:
-        """Return the request with its route, or refuse it."""
+        """Return the request with its route and service.
+
+        Raises:
+            requests.Refused: The configuration does not admit it.
+        """
         table = self.table
         if self.is_stopping:
             raise requests.Refused(503, "stopping", 0.0)
@@ -161,11 +171,11 @@
         return organisation
 
     def _watch_caller(self, request: requests.Request) -> None:
-        """Tell the inbox when the caller closes its connection.
+        """Put a message into the inbox when the caller disconnects.
 
-        Failure: a caller leaves while its request waits or runs, and an
-        upstream goes on working for nobody. Nothing is read here: what
-        a caller sends ahead stays for the next request.
+        Failure: a caller disconnects while its request waits or runs, and
+        an upstream goes on working on an answer that nobody reads. Bytes
+        are only peeked at: pipelined ones belong to the next request.
         """
         sock = request.inbound.client
         client = getattr(sock, "fd", sock)
@@ -211,7 +221,11 @@
 
 
 def _parse_timeout(value: str | None) -> float | None:
-    """Return the seconds a caller waits, None where it doesn't say."""
+    """Return the seconds that a caller will wait, None if unspecified.
+
+    Args:
+        value: The header's value in milliseconds.
+    """
     if value is None or not value.strip().isdecimal():
         return None
     return int(value) / 1000.0
--- a/currantwall/transport/ingress.py
+++ b/currantwall/transport/ingress.py
@@ -1,9 +1,9 @@
-"""The server that callers connect to.
+"""The HTTP server that callers connect to.
 
-eventlet's WSGI server does the connections and writes the answers. What
-comes in is parsed here: a request is passed on byte for byte, so all
-that two parsers might read differently is refused, and the limits are
-those of the configuration in force.
+eventlet's WSGI server handles connections and writes answers. Requests
+are parsed here, within the limits of the configuration in force. As they
+are forwarded byte for byte, everything that two parsers might read
+differently is refused, which prevents request smuggling.
 """
 
 from collections import abc
@@ -29,13 +29,13 @@
     "wrap_listener",
 ]
 
-# Connections that are served at the same time; above, new ones wait.
+# Most connections served at the same time; further ones wait.
 _POOL_SIZE = 900
-# Seconds that a caller may take to accept bytes of its answer.
+# Seconds in which a caller must accept a write of its answer.
 _WRITE_TIMEOUT = 10.0
-# Seconds for a body to arrive.
+# Seconds in which a body must arrive.
 _BODY_TIMEOUT = 10.0
-# Bytes of one chunk's header line.
+# Most bytes of the line that begins a chunk.
 _MAX_CHUNK_LINE = 256
 _HEADER_NAME = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
 _HEADER_VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]*")
@@ -46,7 +46,12 @@
 
 
 class Malformed(Exception):  # noqa: N818
-    """A request that is refused before it is looked at."""
+    """A request that is refused while it is read.
+
+    Attributes:
+        status: Status of the answer.
+        reason: Text of the answer.
+    """
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -61,7 +66,8 @@
         target: Path and query as sent.
         headers: Names and values in the order sent.
         client: The caller's socket.
-        received: Monotonic time at which it was read whole.
+        received: Monotonic time at which it was read completely.
+        caller: The caller's IP address.
     """
 
     method: str
@@ -70,7 +76,6 @@
     body: bytes
     client: typing.Any
     received: float
-    # The caller's IP number.
     caller: str = ""
 
     @property
@@ -80,7 +85,11 @@
 
 
 class Reply(msgspec.Struct, kw_only=True):
-    """An answer: a whole body, or parts as they come."""
+    """An answer, with a whole body or an iterator over its parts.
+
+    Attributes:
+        close: Whether to close the connection after it.
+    """
 
     status: int
     headers: list[tuple[str, str]]
@@ -92,7 +101,13 @@
 
 
 class Ingress:
-    """What connections of one listening socket have in common."""
+    """Handler, limits and state of one listening socket.
+
+    Attributes:
+        is_closing: Whether each answer closes its connection.
+        in_flight: Number of requests that are being answered.
+        on_error: Called with unexpected exceptions of the handler.
+    """
 
     def __init__(
         self,
@@ -105,20 +120,19 @@
         self.now = now
         self.is_closing = False
         self.in_flight = 0
-        # Told of mistakes in the handler.
         self.on_error: abc.Callable[[Exception], None] = _ignore
 
     def handle(self, inbound: Inbound) -> Reply:
-        """Answer a request, with 500 where the handler fails.
+        """Return the answer to a request, or 500 if the handler fails.
 
-        Failure: a mistake in the handler closes the connection without
-        an answer, and nothing says why. The 500 promises nothing: the
-        request may have been sent by then.
+        Failure: an error in the handler closes the connection without an
+        answer or a log line. The 500 does not say that the request did not
+        run: it may have been sent to an upstream by then.
         """
         try:
             return self.handler(inbound)
         except OSError:
-            # The caller has gone; the connection is closed.
+            # The caller has disconnected.
             raise
         except Exception as error:
             self.on_error(error)
@@ -128,7 +142,7 @@
 
 
 class _Protocol(eventlet.wsgi.HttpProtocol):
-    """Reads requests strictly; the answers are eventlet's business."""
+    """Parses requests strictly; eventlet writes the answers."""
 
     ingress: Ingress
 
@@ -155,7 +169,7 @@
         try:
             self._answer(inbound)
         except OSError:
-            # The caller has gone; there is nobody to tell.
+            # The caller has disconnected.
             self.close_connection = 1
         finally:
             self.ingress.in_flight -= 1
@@ -291,7 +305,8 @@
             start(f"{status} {phrase}", headers)
             return chunks
 
-        # What eventlet asks of a request that has been read already.
+        # The part of a WSGI environment that eventlet reads for a request
+        # that was parsed elsewhere.
         self.environ = {
             "eventlet.input": eventlet.wsgi.Input(
                 self.rfile, 0, self.connection
@@ -314,7 +329,7 @@
             self.wfile.write(head.encode() + body)
             self.wfile.flush()
         except OSError:
-            # The caller did not wait for the refusal.
+            # The caller has disconnected.
             return
 
 
@@ -335,10 +350,10 @@
 
 
 def _check_framing(headers: urllib3.HTTPHeaderDict) -> None:
-    """Refuse a request whose length can be read in two ways.
+    """Refuse a request whose length is ambiguous.
 
-    Failure: a request hidden in the body of another one runs at an
-    upstream though no caller sent it.
+    Failure: request smuggling. An upstream reads part of a body as a
+    second request, and runs it though no caller sent it.
     """
     if len(headers.getlist("host")) != 1:
         raise Malformed(400, "one Host is needed")
@@ -364,9 +379,9 @@
 
 
 def wrap_listener(listener: socket.socket) -> typing.Any:
-    """Return a listening socket for the use of eventlet."""
-    # Taken over by accepted connections: an event must not wait for the
-    # acknowledgement of the one before.
+    """Return a listening socket that eventlet can use."""
+    # Accepted connections inherit this: an event must not wait for the
+    # acknowledgement of the previous one.
     listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     if isinstance(listener, eventlet.greenio.GreenSocket):
         return listener
--- a/currantwall/transport/queues.py
+++ b/currantwall/transport/queues.py
@@ -1,8 +1,8 @@
-"""Requests that wait for a place at a replica.
+"""Queue of requests that wait for a free slot at a replica.
 
-Who gets which place and who is turned away is decided in
-`coordination.requests.placing`. Here requests wait, each in the task that
-serves its caller, and are told by a message into their inbox.
+`coordination.requests.placing` decides which request gets which slot and
+which are rejected. Each request waits here in the task that serves its
+caller, and gets the result as a message in its inbox.
 """
 
 from collections import abc
@@ -23,12 +23,12 @@
 __all__ = ["Queue"]
 
 _WAITED = "currantwall.requests.waited"
-# Routes of which the longest time that callers wait is remembered.
+# Most routes whose longest caller timeout is remembered.
 _MAX_ROUTES = 4096
 
 
 class _WaitingRequest:
-    """One request that waits, and the place it was given."""
+    """A queued request and the replica that it was assigned to."""
 
     def __init__(self, request: requests.Request) -> None:
         self.request = request
@@ -36,7 +36,7 @@
 
 
 class Queue:
-    """Lets requests wait for places at the replicas of engines."""
+    """Queues requests for the slots of engine replicas."""
 
     def __init__(
         self,
@@ -45,7 +45,8 @@
         log: journal.Journal,
         now: abc.Callable[[], float],
     ) -> None:
-        # Told when a replica is nearly full, or none has room.
+        # Called when a replica is nearly full or none has a free slot, so
+        # that the other gateways learn of this one's load.
         self.on_high_load: abc.Callable[[], None] = _ignore
         self._balancer = balancer
         self._placer = placing.Placer(balancer)
@@ -54,7 +55,7 @@
         self._now = now
         self._waiting: dict[backlog.Ticket, _WaitingRequest] = {}
         self._nonempty = eventlet.event.Event()
-        # The longest time that callers of each route wait, in seconds.
+        # Longest timeout that a caller of each route has sent, in seconds.
         self._longest_timeouts: dict[str, float] = {}
 
     # -- One request
@@ -62,9 +63,12 @@
     def acquire_slot(
         self, request: requests.Request
     ) -> upstreams.Upstream | balancing.Unavailable:
-        """Return the replica for a request, once there is room.
+        """Return the replica for a request, once it has a free slot.
 
-        The place is counted as taken. Raises `requests.CallerLeft`.
+        The balancer counts the slot as taken.
+
+        Raises:
+            requests.CallerDisconnected: The caller closed its connection.
         """
         ticket = self._make_ticket(request)
         found = self._placer.try_place(ticket, self._now())
@@ -78,11 +82,11 @@
         return self._wait(request, ticket)
 
     def is_late(self, request: requests.Request) -> bool:
-        """Return whether a request that starts now will not be in time."""
+        """Return whether a request that starts now would be late."""
         return self._placer.is_late(self._make_ticket(request), self._now())
 
     def note_first(self, request: requests.Request, seconds: float) -> None:
-        """Note the time from sending a request to its first event."""
+        """Record the seconds from sending a request to its first event."""
         if request.model is not None:
             self._placer.backlog.note_first(_make_kind(request), seconds)
 
@@ -113,7 +117,7 @@
                 message = waiting.request.inbox.get(timeout=remaining)
             except eventlet.queue.Empty:
                 if waiting.assigned is not None:
-                    # It was given a place in this very moment.
+                    # A slot was assigned just now: its message is next.
                     continue
                 retry_after = self._placer.estimate_retry_after(
                     ticket, self._now()
@@ -126,7 +130,7 @@
                 return balancing.Unavailable(reason, message.retry_after)
             if isinstance(message, requests.Disconnected):
                 raise requests.CallerDisconnected
-            # Anything else is of an attempt that has ended.
+            # All other messages come from an attempt that has ended.
 
     # -- Tickets
 
@@ -153,10 +157,10 @@
         )
 
     def _estimate_earlier_wait(self, request: requests.Request) -> float:
-        """Return the seconds a caller waited before this request.
+        """Return the seconds that a caller waited before this request.
 
-        One that was told to come back has less time left than callers of
-        its route have at first.
+        A caller that retries after a refusal sends a shorter timeout than
+        the callers of its route send at first.
         """
         if request.caller_timeout is None:
             return 0.0
@@ -169,13 +173,13 @@
         self._longest_timeouts[name] = longest
         return longest - request.caller_timeout
 
-    # -- Those that wait
+    # -- Waiting requests
 
     def note_end(self, upstream: upstreams.Upstream) -> None:
-        """Give the place of a request that has ended to the next one.
+        """Assign the slot of an ended request to a waiting one.
 
-        Failure: a replica that was full has a free place that only this
-        gateway knows of, and the others hold requests back from it.
+        Failure: only this gateway knows of the free slot of a replica that
+        was full, and the other gateways still send it no requests.
         """
         if self._placer.is_nearly_full(upstream):
             self.on_high_load()
@@ -183,7 +187,7 @@
             self._notify_placed(self._placer.replace_ended(self._now()))
 
     def run(self) -> None:
-        """Look at free places and at the time, while requests wait."""
+        """Assign free slots and reject late requests, while any wait."""
         while True:
             if not self._waiting:
                 self._nonempty = eventlet.event.Event()
@@ -196,7 +200,7 @@
     def _notify_placed(
         self, placements: abc.Iterable[placing.Placement]
     ) -> None:
-        """Tell requests of their places."""
+        """Send requests the slots that they were assigned."""
         for placement in placements:
             ticket, upstream = placement.ticket, placement.upstream
             waiting = self._waiting.pop(ticket)
@@ -219,7 +223,7 @@
             self.on_high_load()
 
     def _notify_rejected(self, kind: backlog.Kind) -> None:
-        """Tell requests that they will get no place in time."""
+        """Reject the requests that will get no slot in time."""
         for refusal in self._placer.turn_away(kind, self._now()):
             waiting = self._waiting.pop(refusal.ticket)
             message = requests.Rejected(refusal.retry_after)
@@ -235,7 +239,7 @@
 
 
 def _get_rank(request: requests.Request) -> int:
-    """Return a request's rank; its organisation's goes before its route's."""
+    """Return the organisation's priority, or the route's if it has none."""
     organisation = request.organisation
     if organisation is not None and organisation.priority is not None:
         return organisation.priority
--- a/currantwall/transport/requests.py
+++ b/currantwall/transport/requests.py
@@ -1,4 +1,4 @@
-"""One request of a caller while it is served, and how serving it ends."""
+"""State of a caller's request while it is served, and how it ends."""
 
 import typing
 
@@ -24,17 +24,21 @@
 
 
 class Disconnected(msgspec.Struct, frozen=True):
-    """The caller has closed its connection."""
+    """Message: the caller has closed its connection."""
 
 
 class Placed(msgspec.Struct, frozen=True):
-    """A place was found for a request that waited; it is reserved."""
+    """Message: a slot at a replica is reserved for a queued request."""
 
     upstream: upstreams.Upstream
 
 
 class Rejected(msgspec.Struct, frozen=True):
-    """No place will be found in time for a request that waits."""
+    """Message: a queued request will get no slot in time.
+
+    Attributes:
+        retry_after: Seconds after which the caller should retry.
+    """
 
     retry_after: float
 
@@ -44,11 +48,17 @@
 
 
 class StreamAborted(Exception):  # noqa: N818
-    """A stream ends without its last event."""
+    """A stream ended before its last event."""
 
 
 class Refused(Exception):  # noqa: N818
-    """The request is answered without an upstream."""
+    """The request is answered with an error of the gateway's own.
+
+    Attributes:
+        status: Status of the answer.
+        reason: Text of the answer.
+        retry_after: Seconds after which the caller should retry.
+    """
 
     def __init__(
         self, status: int, reason: str, retry_after: float = 0.0
@@ -60,16 +70,22 @@
 
 
 class Request(msgspec.Struct, kw_only=True):
-    """One request with all that its handling needs.
+    """One request of a caller.
 
     Attributes:
-        limit: Monotonic time of its final answer.
-        budget: Seconds that the caller said it would wait.
-        inbox: What its attempts and the caller's leaving tell.
+        attempt_id: Id that the caller gave it in the `attempt` header.
+        deadline: Monotonic time by which it must be answered.
+        caller_timeout: Seconds that the caller will wait, if it says so.
+        version: Version of the configuration that admitted it.
+        inbox: Receives the messages of its attempts, of the queue and of
+            the task that watches the caller.
         tried: Upstreams that it was sent to, by `Upstream.life`.
-        first: Seconds until its caller got the first event; None before.
-        pause: Longest time between two events, in seconds.
-        told: Monotonic time of the last event.
+        last_event: Id of the last event that the caller has received.
+        watcher: Task that notices when the caller disconnects.
+        first_event_after: Seconds until the caller got the first event;
+            None before.
+        longest_pause: Longest time between two events, in seconds.
+        last_event_at: Monotonic time of the last event.
     """
 
     inbound: ingress.Inbound
@@ -92,7 +108,7 @@
     last_event_at: float = 0.0
 
     def note_events(self, now: float) -> None:
-        """Note that events go to the caller."""
+        """Record that events are sent to the caller now."""
         if self.first_event_after is None:
             self.first_event_after = now - self.inbound.received
         else:
@@ -103,7 +119,13 @@
 
 
 class Attempt(msgspec.Struct, kw_only=True):
-    """One attempt at one upstream."""
+    """One attempt at one upstream.
+
+    Attributes:
+        sent_at: Monotonic time at which it was started.
+        last_message_at: Monotonic time of the upstream's last message.
+        is_ended: Whether it no longer counts as in progress.
+    """
 
     upstream: upstreams.Upstream
     exchange: exchanges.Exchange
--- a/currantwall/transport/sending.py
+++ b/currantwall/transport/sending.py
@@ -1,8 +1,9 @@
-"""Attempts of a request: choose an upstream, send, judge, repeat or end.
+"""Sends a request to an upstream, and again to another one if it fails.
 
-The decisions are in `coordination`: which upstream (`balancing`),
-whether to repeat (`attempts`) and at whose cost (`budgets`). Here they
-are carried out and written to the log, one line for each.
+`coordination` decides which upstream to use (`balancing`), whether to
+retry (`attempts`) and whether the repeat budget allows it (`budgets`).
+This module carries these decisions out and logs each failed attempt and
+each answer.
 """
 
 import itertools
@@ -34,17 +35,18 @@
 ANSWERS = "currantwall.answers"
 _ATTEMPTS_FAILED = "currantwall.attempts.failed"
 _DURATION = "currantwall.answers.duration"
-# Seconds between two looks for an upstream in the middle of a stream.
+# Seconds between two attempts to choose an upstream for a broken stream.
 _CHOOSE_INTERVAL = 0.05
-# Seconds by which a caller's time is shortened on the way to an upstream,
-# so that what is left there is never more than the caller's.
+# Seconds subtracted from the caller's remaining time before it is sent to
+# an upstream, which must never be given more time than the caller has.
 _BUDGET_MARGIN = 0.004
-# Ranks of requests at an engine, from 0 (first) to 9.
+# Ranks by which an engine admits requests, from 0 (first) to 9.
 _RANK_RESUMED = 1
 _RANK_IN_TIME = 4
 _RANK_LATE = 7
-# Status of a server that a request was not meant for.
+# Status of an answer from a server that the request was not meant for.
 _MISDIRECTED = 421
+# Headers that apply to a single connection and are not forwarded.
 _HOP_HEADERS = frozenset(
     (
         "connection",
@@ -63,7 +65,14 @@
 
 
 class Sender:
-    """Sends requests to upstreams and keeps what was seen of them."""
+    """Sends requests to upstreams and records how the attempts end.
+
+    Attributes:
+        fleet_age: Returns the age of the list of upstreams, in seconds, at
+            a monotonic time.
+        on_probe_requested: Called with an upstream that is silent or
+            can't be reached.
+    """
 
     def __init__(
         self,
@@ -89,24 +98,24 @@
         self._meter = meter
         self._log = log
         self._exchange_numbers = itertools.count(1)
-        # When each upstream last sent anything to this node.
+        # Monotonic time at which each upstream last sent anything here.
         self._last_message_times: dict[ids.InstanceId, float] = {}
-        # Attempts under way at each upstream, by its life, with who waits
-        # for them.
+        # Inboxes of the attempts in progress, by `Upstream.life` and by the
+        # number of the exchange.
         self._active: dict[str, dict[int, eventlet.queue.LightQueue]] = {}
 
     def note_request(self, request: requests.Request) -> None:
-        """Count a request of a caller."""
+        """Count a caller's request for the repeat budget."""
         self._budget.note_request(
             request.service.name, request.inbound.received
         )
 
     def get_last_message_time(self, instance: ids.InstanceId) -> float:
-        """Return when an upstream last sent anything to this node."""
+        """Return the monotonic time of an upstream's last message, or 0."""
         return self._last_message_times.get(instance, 0.0)
 
     def forget(self, present: typing.Container[ids.InstanceId]) -> None:
-        """Forget upstreams that are no longer listed."""
+        """Remove the state of upstreams that are no longer listed."""
         for instance in list(self._last_message_times):
             if instance not in present:
                 del self._last_message_times[instance]
@@ -114,7 +123,16 @@
     def send(
         self, request: requests.Request, wait: float = 0.0
     ) -> requests.Attempt:
-        """Start the next attempt, or refuse."""
+        """Start the next attempt of a request.
+
+        Args:
+            request: The request.
+            wait: Seconds to wait for a usable upstream. Ignored for a
+                request that is queued first.
+
+        Raises:
+            requests.Refused: No upstream can take the request.
+        """
         if request.model is not None and not request.progress.runs:
             return self._send_queued(request)
         deadline = min(self.now() + wait, request.deadline)
@@ -137,10 +155,10 @@
             eventlet.sleep(_CHOOSE_INTERVAL)
 
     def _send_queued(self, request: requests.Request) -> requests.Attempt:
-        """Start an attempt once a replica has room for it.
+        """Wait in the queue for a free slot, then start an attempt.
 
-        A stream that broke off does not wait again: its caller has a
-        part of it, and each further moment is a pause.
+        A broken stream is not queued again: its caller has received a
+        part of it, and waiting would lengthen the pause.
         """
         try:
             chosen = self._queue.acquire_slot(request)
@@ -166,7 +184,7 @@
             body=inbound.body or _make_empty_body(inbound),
             attempt_id=request.attempt_id,
             timeout=max(0.05, request.deadline - now),
-            new_only=not request.route.is_idempotent,
+            new_connection=not request.route.is_idempotent,
         )
         exchange = exchanges.Exchange(
             next(self._exchange_numbers),
@@ -189,26 +207,26 @@
     def note_first(
         self, request: requests.Request, current: requests.Attempt
     ) -> None:
-        """Note the first event of an attempt."""
+        """Record how long an attempt's first event took."""
         self._queue.note_first(
             request, current.last_message_at - current.sent_at
         )
 
     def note_pause(self, current: requests.Attempt, seconds: float) -> None:
-        """Note the time between two events of an attempt."""
+        """Record the seconds between two events of an attempt."""
         self._balancer.note_pause(
             current.upstream.id, seconds, current.last_message_at
         )
 
     def note_success(self, current: requests.Attempt) -> None:
-        """Note an attempt that ended in order."""
+        """Record that an attempt succeeded."""
         self._balancer.note_success(current.upstream.id)
 
     def abort_attempts(self, life: str) -> None:
-        """End all attempts at a leader whose replica has lost a member.
+        """Fail all attempts at a leader whose replica has lost a member.
 
-        Failure: such a leader stalls for seconds without a word; what
-        waits there goes on elsewhere as soon as the loss is known.
+        Failure: such a leader stalls silently for seconds. Its requests
+        are retried elsewhere as soon as the loss is known.
         """
         for number, inbox in self._active.get(life, {}).items():
             failed = exchanges.Failed(number, True, "verdict", "member lost")
@@ -257,10 +275,10 @@
         return tuple(headers)
 
     def _choose_rank(self, request: requests.Request) -> int:
-        """Return a request's rank at an engine, which admits by it.
+        """Return the rank by which an engine admits a request.
 
-        A stream that broke off goes before all others: its caller has a
-        part of it and waits for the next event.
+        A broken stream is admitted before all other requests: its caller
+        has received a part of it and waits for the next event.
         """
         if request.progress.runs:
             return _RANK_RESUMED
@@ -269,7 +287,10 @@
         return _RANK_IN_TIME
 
     def end_attempt(self, current: requests.Attempt) -> None:
-        """Count an attempt out, once."""
+        """Remove an attempt from the counts of attempts in progress.
+
+        Further calls have no effect.
+        """
         if not current.is_ended:
             current.is_ended = True
             self._balancer.end(current.upstream.id)
@@ -287,7 +308,17 @@
         failure: Failure,
         why: str,
     ) -> None:
-        """Note a failed attempt; refuse if it was the last one."""
+        """Record a failed attempt, and decide whether to retry.
+
+        Args:
+            request: The request.
+            current: The attempt.
+            failure: How it failed.
+            why: The cause, for the log and the caller.
+
+        Raises:
+            requests.Refused: The request is not retried.
+        """
         now = self.now()
         current.exchange.cancel()
         self.end_attempt(current)
@@ -330,7 +361,7 @@
     def make_refusal(
         self, request: requests.Request, why: str, retry_after: float
     ) -> requests.Refused:
-        """Return the final answer of a request without one."""
+        """Return the error for a request that no upstream has answered."""
         in_time = self.now() < request.deadline
         ending = attempts.choose_ending(request.progress, in_time)
         if ending is attempts.Ending.REFUSED:
@@ -345,7 +376,21 @@
         current: requests.Attempt,
         until: float,
     ) -> typing.Any:
-        """Return the next message of an attempt, None at the time given."""
+        """Return the next message of an attempt.
+
+        Messages of earlier attempts of the request are dropped.
+
+        Args:
+            request: The request.
+            current: The attempt.
+            until: Monotonic time at which to stop waiting.
+
+        Returns:
+            The message; None if there was none in time.
+
+        Raises:
+            requests.CallerDisconnected: The caller closed its connection.
+        """
         while True:
             wait = until - self.now()
             try:
@@ -362,7 +407,7 @@
                 return message
 
     def may_retry(self, request: requests.Request) -> bool:
-        """Return whether a failed answer may be tried elsewhere."""
+        """Return whether a request may still be retried after a failure."""
         route = request.route
         return route.is_idempotent and (
             request.progress.runs + 1 < route.attempts
@@ -371,7 +416,12 @@
     def fail_stalled(
         self, request: requests.Request, current: requests.Attempt
     ) -> None:
-        """Note an attempt that was silent for too long."""
+        """Fail an attempt that timed out.
+
+        Raises:
+            requests.Refused: The request is not retried, or its deadline
+                has passed.
+        """
         if self.now() < request.deadline:
             self.fail_attempt(request, current, Failure.STALLED, "silent")
             return
@@ -386,7 +436,11 @@
         current: requests.Attempt,
         failed: exchanges.Failed,
     ) -> None:
-        """Note an attempt that broke off."""
+        """Fail an attempt whose exchange broke off.
+
+        Raises:
+            requests.Refused: The request is not retried.
+        """
         failure = Failure.LOST if failed.may_have_sent else Failure.UNREACHED
         why = f"{failed.step}: {failed.detail}"
         self.fail_attempt(request, current, failure, why)
@@ -394,7 +448,7 @@
     def classify(
         self, head: exchanges.Head, request: requests.Request
     ) -> Failure | None:
-        """Return what is wrong with an answer's head, None if nothing."""
+        """Return the failure that an answer's head shows, None if none."""
         names = self.names
         if head.status == _MISDIRECTED:
             return Failure.MISDIRECTED
@@ -416,7 +470,7 @@
         current: requests.Attempt,
         reply: Reply,
     ) -> Reply:
-        """Note an upstream's answer and return it."""
+        """Record the answer of an upstream and return it."""
         request.watcher.kill()
         self.end_attempt(current)
         if reply.status < 500:
@@ -427,7 +481,7 @@
     def abandon(
         self, request: requests.Request, current: requests.Attempt
     ) -> Reply:
-        """End the work for a caller that has left."""
+        """Cancel the attempt of a caller that has disconnected."""
         current.exchange.cancel()
         self.end_attempt(current)
         request.watcher.kill()
@@ -437,7 +491,13 @@
     def note_answer(
         self, request: requests.Request, current: requests.Attempt, status: int
     ) -> None:
-        """Count and log the end of a request; status 0 for none."""
+        """Count and log the end of a request.
+
+        Args:
+            request: The request.
+            current: Its last attempt.
+            status: Status of the answer; 0 if it is incomplete.
+        """
         now = self.now()
         spent = now - request.inbound.received
         self._meter.add(ANSWERS, 1, str(status))
@@ -462,7 +522,7 @@
 
 
 def _describe_lateness(request: requests.Request, spent: float) -> str | None:
-    """Return what made an answer late, in a word; None if it was on time."""
+    """Return which objective an answer missed, None if it was in time."""
     first = (
         spent
         if request.first_event_after is None
@@ -479,7 +539,7 @@
 
 
 def _make_empty_body(inbound: ingress.Inbound) -> bytes | None:
-    """Return an empty body where the caller sent one, else none."""
+    """Return an empty body if the caller sent one, else None."""
     has_body = "content-length" in inbound.headers
     has_body = has_body or "transfer-encoding" in inbound.headers
     return b"" if has_body else None
@@ -488,7 +548,7 @@
 def drop_hop_headers(
     headers: urllib3.HTTPHeaderDict,
 ) -> list[tuple[str, str]]:
-    """Return the headers of an answer that concern the caller."""
+    """Return the headers of an answer without hop-by-hop headers."""
     connection = headers.get("connection", "")
     hop_by_hop = {
         option.strip().lower()
--- a/currantwall/transport/streams.py
+++ b/currantwall/transport/streams.py
@@ -1,7 +1,7 @@
-"""Streams of events, passed on event by event.
+"""Event streams, forwarded to callers event by event.
 
-A stream whose upstream fails goes on at another one after the last whole
-event, where its route allows that; the caller sees one answer.
+If its upstream fails, a stream is resumed at another one after the last
+complete event, if its route allows that. The caller sees one answer.
 """
 
 import typing
@@ -18,20 +18,26 @@
 Failure = attempts.Failure
 Reply = ingress.Reply
 
-# Seconds a stream may pause while no upstream is left to go on with it;
-# callers leave after two seconds without an event.
+# Seconds to wait for an upstream that can resume a stream. Callers give up
+# after two seconds without an event.
 _RESUME_TIMEOUT = 1.6
 _STREAM_TYPE = "text/event-stream"
 
 
 class Streams:
-    """Serves requests that are answered by events."""
+    """Serves requests that are answered by an event stream."""
 
     def __init__(self, sender: sending.Sender) -> None:
         self._sender = sender
 
     def serve(self, request: requests.Request) -> Reply:
-        """Return a stream once its first event, or its failure, is in."""
+        """Return the answer once its first event has arrived.
+
+        An answer that is no event stream is returned whole.
+
+        Raises:
+            requests.Refused: No upstream has answered.
+        """
         while True:
             try:
                 current = self._sender.send(
@@ -54,18 +60,24 @@
 
     @staticmethod
     def _choose_wait(request: requests.Request) -> float:
-        """Return how long to wait for an upstream.
+        """Return how long to wait for an upstream, in seconds.
 
-        A request that may have run cannot be refused as not run: while
-        its stream may go on elsewhere, waiting for a replica to be mended
-        serves its caller better than a failure.
+        A request that may have run can't be refused as not run. As long as
+        its stream may be resumed, waiting for a replica to recover serves
+        the caller better than an error.
         """
         return _RESUME_TIMEOUT if request.progress.runs else 0.0
 
     def _await_first(
         self, request: requests.Request, current: requests.Attempt
     ) -> "Reply | tuple[events.Splitter, list[events.Event], bool] | None":
-        """Return what an attempt begins with, None if it failed."""
+        """Wait for the first events of an attempt.
+
+        Returns:
+            The splitter, the first complete events, and whether the stream
+            has ended; a whole reply if the answer is no event stream; None
+            if the attempt failed and may be retried.
+        """
         splitter = events.Splitter()
         plain_body: list[bytes] | None = None
         while True:
@@ -115,9 +127,9 @@
 
         Args:
             request: The request.
-            current: The attempt that is under way.
-            stall_timeout: Seconds of silence that count as a stall; None before
-                the first event.
+            current: The attempt that is in progress.
+            stall_timeout: Seconds of silence that count as a stall; None
+                before the first event, for which the route's timeout holds.
         """
         timeout = stall_timeout or attempts.get_first_event_timeout(
             request.route
@@ -134,7 +146,8 @@
             now = self._sender.now()
             silent_since = current.last_message_at
             if stall_timeout is None:
-                # Before the first event others tell whether it works.
+                # Until then messages to other requests show that the
+                # upstream works.
                 last_message = self._sender.get_last_message_time(
                     current.upstream.id
                 )
@@ -168,7 +181,19 @@
         ready: list[events.Event],
         ended: bool,
     ) -> typing.Iterator[bytes]:
-        """Yield whole events; go on at another upstream if one fails."""
+        """Yield complete events; resume elsewhere if the upstream fails.
+
+        Args:
+            request: The request.
+            current: The attempt that is in progress.
+            splitter: Splits its body into events.
+            ready: Events that have arrived and were not yielded yet.
+            ended: Whether the body is complete.
+
+        Raises:
+            requests.StreamAborted: The stream can't be resumed, or the
+                caller has disconnected.
+        """
         request.progress.started = True
         status = 200
         try:
@@ -216,7 +241,10 @@
 
     @staticmethod
     def _is_new(request: requests.Request, event: events.Event) -> bool:
-        """Return whether the caller lacks an event."""
+        """Return whether the caller has not received an event yet.
+
+        A resumed stream may repeat events.
+        """
         last = request.last_event
         if last.isdecimal() and event.id.isdecimal():
             return int(event.id) > int(last)
@@ -225,7 +253,16 @@
     def _resume(
         self, request: requests.Request
     ) -> tuple[requests.Attempt, events.Splitter, list[events.Event], bool]:
-        """Go on with a stream at another upstream."""
+        """Resume a stream at another upstream.
+
+        Returns:
+            The attempt, its splitter, its first events, and whether the
+            stream has ended.
+
+        Raises:
+            requests.Refused: No upstream can resume the stream in time.
+            requests.CallerDisconnected: The caller closed its connection.
+        """
         until = self._sender.now() + _RESUME_TIMEOUT
         while True:
             wait = max(0.0, until - self._sender.now())
--- a/currantwall/transport/wholes.py
+++ b/currantwall/transport/wholes.py
@@ -1,7 +1,7 @@
-"""Answers that are passed on whole, once their last byte is in.
+"""Answers that are buffered whole before they are forwarded.
 
-A whole answer can be judged before the caller sees any of it: one that
-is cut off, not signed, or meant for another request is never passed on.
+A buffered answer is checked before the caller sees any of it: one that is
+truncated, unsigned or meant for another request is never forwarded.
 """
 
 from currantwall.coordination.requests import attempts
@@ -17,13 +17,20 @@
 
 
 class WholeAnswers:
-    """Serves requests of plain services."""
+    """Serves requests to plain services."""
 
     def __init__(self, sender: sending.Sender) -> None:
         self._sender = sender
 
     def serve(self, request: requests.Request) -> Reply:
-        """Return a whole answer; an upstream's own failure is one."""
+        """Return a whole answer.
+
+        If every attempt fails, the last answer with a status of 500 or
+        above is returned.
+
+        Raises:
+            requests.Refused: No upstream has answered.
+        """
         error_reply: Reply | None = None
         while True:
             try:
@@ -47,7 +54,15 @@
     def _await_answer(
         self, request: requests.Request, current: requests.Attempt
     ) -> Reply | None:
-        """Return an attempt's answer, or None once it was noted failed."""
+        """Return the answer of an attempt.
+
+        Returns:
+            The answer; None if the attempt failed and may be retried.
+
+        Raises:
+            requests.Refused: The attempt failed and is not retried.
+            requests.CallerDisconnected: The caller closed its connection.
+        """
         timeout = attempts.get_answer_timeout(request.route)
         parts: list[bytes] = []
         until = request.deadline
