--- a/currantwall/transport/callers.py
+++ b/currantwall/transport/callers.py
@@ -1,4 +1,8 @@
-"""What all requests of callers share: who asks, routes, retries, ends."""
+"""Handling that all callers' requests share.
+
+Identifies callers, reads their headers, requests routes, decides on
+retries and reports how attempts end.
+"""
 
 from collections import abc
 import http
@@ -35,7 +39,8 @@
 Response = http_protocol.Response
 _KIND_HEADER = "Currantwall-Kind"
 _DEADLINE_HEADER = "Currantwall-Deadline"
-# The queue answers by the deadline; this only guards against a bug.
+# Seconds by which the timeout exceeds the deadline. The queue answers by the
+# deadline; the timeout only guards against a bug in it.
 _QUEUE_TIMEOUT_MARGIN = 1.0
 _FORWARDED_HEADERS = (
     "currantwall-kind",
@@ -45,7 +50,9 @@
     "tracestate",
     "baggage",
 )
+# Seconds after which a caller should retry a failed request.
 _RETRY_AFTER = 1.0
+# Ends an attempt whose caller has disconnected.
 CALLER_LEFT = errors.CallError(
     errors.Step.BODY, "caller", errors.Failure.CLOSED
 )
@@ -53,10 +60,13 @@
 
 
 class CallContext(msgspec.Struct, frozen=True):
-    """Who asks, what the answer is worth, and until when.
+    """Organisation, weight and deadline of a request.
 
     Attributes:
-        deadline: Monotonic time of this process.
+        organisation: The caller's organisation.
+        weight: Weight of the request's kind.
+        deadline: Monotonic time of this process by which it must be
+            answered.
     """
 
     organisation: ids.OrganisationName
@@ -65,7 +75,7 @@
 
 
 class Callers:
-    """What the handlers of callers' requests share in one process."""
+    """State that the handlers of callers' requests share."""
 
     def __init__(
         self,
@@ -90,12 +100,12 @@
         }
         self._attempts = itertools.count(1)
 
-    # -- Who asks
+    # -- Callers
 
     def identify(
         self, request: server.Request
     ) -> ids.OrganisationName | Response:
-        """Return the organisation of a caller, or the refusal."""
+        """Return the organisation of a caller, or an error response."""
         if not self._tokens:
             return _ANONYMOUS
         value = request.headers.get("authorization", "")
@@ -110,7 +120,7 @@
     def read_context(
         self, request: server.Request, caller: ids.OrganisationName
     ) -> CallContext | Response:
-        """Return what a caller wants besides the answer itself."""
+        """Return the context of a request, or an error response."""
         name = request.headers.get(_KIND_HEADER.lower(), "")
         kind = self._kinds.get(name)
         if name and kind is None:
@@ -137,7 +147,12 @@
         make: abc.Callable[[int], routing.RouteRequested],
         deadline: float,
     ) -> routing.Route | routing.Refusal:
-        """Return a route, waiting in the queue up to the deadline."""
+        """Return a route, after waiting in the queue if necessary.
+
+        Args:
+            make: Makes the message to the node from the number of the call.
+            deadline: Monotonic time at which to stop waiting.
+        """
         wait = max(0.0, deadline - self._clock.now()) + _QUEUE_TIMEOUT_MARGIN
         answer = self._core.ask(make, wait, admission.Cancelled)
         if answer is None:
@@ -150,7 +165,7 @@
     def decide_retry(
         self, failure: retries.AttemptFailure, error: errors.CallError
     ) -> Response | None:
-        """Wait before a retry, or return the final answer."""
+        """Wait for the backoff of a retry, or return an error response."""
         decision = self._retries.decide(failure, self._clock.now())
         self._meter.add(actions.Counter.RETRIES.value, 1, decision.value)
         if decision is retries.RetryDecision.RETRY:
@@ -170,7 +185,11 @@
     def end_attempt(
         self, route: routing.Route, error: errors.CallError | None
     ) -> None:
-        """Tell the node of an end and of the failure behind it."""
+        """Report the end of an attempt to the node.
+
+        A failure in which the request certainly did not run is reported as
+        evidence against the upstream too.
+        """
         kinds = routing.EndKind
         if error is None:
             kind = kinds.ANSWERED
@@ -184,11 +203,11 @@
             self._core.tell(failed)
 
     def report_end(self, route: routing.Route, kind: routing.EndKind) -> None:
-        """Tell the node how an attempt ended."""
+        """Report to the node how an attempt ended."""
         self._core.tell(routing.AttemptEnded(route.attempt, kind))
 
     def next_attempt(self) -> ids.AttemptId:
-        """Return an attempt id not used before."""
+        """Return an attempt id that was not used before."""
         me = self._core.node.nodes.me
         number = next(self._attempts)
         return ids.AttemptId(f"{me.id}.{me.incarnation}.{number}")
@@ -198,12 +217,12 @@
         self._meter.add(actions.Counter.REQUESTS.value, 1, kind)
 
     def earn_retry(self) -> None:
-        """Note a new request: it earns its share of a retry."""
+        """Add a new request's share to the retry budget."""
         self._retries.earn()
 
 
 class EntryHandlers(server.Handlers):
-    """Tells callers which addresses to use."""
+    """Answers which entries a caller should use."""
 
     def __init__(
         self, core: coordinator.Coordinator, clock: timers.TimerService
@@ -213,7 +232,7 @@
 
     @server.route("GET", r"/v1/entries")
     def list_entries(self, request: server.Request) -> Response:
-        """Return the addresses that a caller should use."""
+        """Return the addresses of the entries of a data centre."""
         node = self._core.node
         own = node.nodes.me.datacentre
         wanted = request.query.get("datacentre", own)
@@ -225,7 +244,7 @@
 def get_forwarded_headers(
     request: server.Request,
 ) -> tuple[tuple[str, str], ...]:
-    """Return the headers that are passed on to an upstream."""
+    """Return the headers that are forwarded to an upstream."""
     return tuple(
         (name, request.headers[name])
         for name in _FORWARDED_HEADERS
@@ -234,7 +253,7 @@
 
 
 def make_refused_error(peer: str, status: int) -> errors.CallError:
-    """Return the error of an upstream that says it ran nothing."""
+    """Return the error for a status that says the request did not run."""
     return errors.CallError(
         errors.Step.CONNECT,
         peer,
@@ -244,14 +263,14 @@
 
 
 def choose_outcome(may_have_run: bool) -> homes.Outcome:
-    """Return what may be said of a request that failed."""
+    """Return the outcome of a failed request."""
     if may_have_run:
         return homes.Outcome.UNKNOWN
     return homes.Outcome.NOT_RUN
 
 
 def make_unknown_response(detail: str) -> Response:
-    """Return the response for a call that may have run."""
+    """Return the error response for a call that may have run."""
     return http_protocol.fail(
         http.HTTPStatus.BAD_GATEWAY,
         "outcome_unknown",
--- a/currantwall/transport/chats.py
+++ b/currantwall/transport/chats.py
@@ -1,4 +1,4 @@
-"""Chat completions: routed, retried, answered whole or streamed."""
+"""Chat completions: routing, retries, and whole or streamed answers."""
 
 from collections import abc
 import http
@@ -26,10 +26,13 @@
 Response = http_protocol.Response
 _CHAT_PATH = "/v1/chat/completions"
 _DONE_EVENT = b"data: [DONE]"
-# Enough of a stream's end to find the mark in, however it was split.
+# Bytes of a stream's end that are kept: enough to find the last event in,
+# however the stream was split into chunks.
 _TAIL_SIZE = 64
 _PRIORITY_HEADER = "Currantwall-Priority"
+# Most bytes of a prompt's first message that are hashed.
 _PREFIX_SIZE = 1024
+# Statuses of an upstream that did not run the request.
 _BUSY_STATUSES = (
     http.HTTPStatus.TOO_MANY_REQUESTS,
     http.HTTPStatus.SERVICE_UNAVAILABLE,
@@ -37,7 +40,7 @@
 
 
 class _Chat(msgspec.Struct):
-    """The part of a chat request that matters here."""
+    """Fields of a chat request that the entry reads."""
 
     model: str
     messages: list[msgspec.Raw]
@@ -45,7 +48,7 @@
 
 
 class _Attempt(msgspec.Struct, frozen=True):
-    """A routed attempt and what came of opening it."""
+    """A route and the answer, or the error, of the request sent by it."""
 
     route: routing.Route
     outcome: result.Result[upstreams.Stream, errors.CallError]
@@ -68,7 +71,7 @@
 
     @server.route("POST", _CHAT_PATH)
     def complete_chat(self, request: server.Request) -> Response:
-        """Answer a chat completion, streamed or whole."""
+        """Return the answer to a chat completion, whole or streamed."""
         caller = self._callers.identify(request)
         if isinstance(caller, Response):
             return caller
@@ -160,7 +163,7 @@
         chat: _Chat,
         attempts: int,
     ) -> Response | errors.CallError:
-        """Return the response of an attempt, or why it failed."""
+        """Return the response of an attempt, or its failure."""
         if isinstance(opened.outcome, result.Err):
             self._callers.end_attempt(opened.route, opened.outcome.err_value)
             return opened.outcome.err_value
@@ -197,7 +200,7 @@
         stream: upstreams.Stream,
         attempts: int,
     ) -> Response:
-        """Return a response that passes the stream on as it comes."""
+        """Return a response that forwards the stream as it arrives."""
         headers = (
             *stream.headers,
             (http_protocol.ATTEMPTS_HEADER, str(attempts)),
@@ -211,12 +214,12 @@
         route: routing.Route,
         stream: upstreams.Stream,
     ) -> abc.Iterator[bytes]:
-        """Yield the first chunk, then pass the rest between the sockets.
+        """Yield the first chunk, then splice the rest between sockets.
 
-        Failure: the replica dies in the middle of an answer and the
-        caller takes the beginning for the whole. A stream without its
-        end mark ends with an error event, or, inside a chunk, with a
-        broken connection; never like a whole one.
+        Failure: the replica dies in the middle of an answer, and the
+        caller takes the truncated answer for a complete one. A stream
+        without its last event ends with an error event, or, inside a
+        chunk, with a broken connection; never like a complete one.
         """
         failure: errors.CallError | None = callers.CALLER_LEFT
         chunks = stream.read_chunks()
@@ -252,7 +255,7 @@
 
 
 def _hash_prefix(chat: _Chat) -> int:
-    """Return a hash of a prompt's beginning, 0 when it has none.
+    """Return a hash of the first of several messages, 0 for fewer than two.
 
     Prompts of one kind share their first message.
     """
@@ -264,7 +267,10 @@
 def _forward_chunks(
     route: routing.Route, chunks: abc.Iterator[bytes], first: bytes
 ) -> abc.Generator[bytes, None, errors.CallError | None]:
-    """Yield the chunks of a stream; return what was wrong with it."""
+    """Yield the chunks of a stream; return how it failed, if it did.
+
+    A stream without its last event ends with an error event.
+    """
     tail = first[-_TAIL_SIZE:]
     for chunk in chunks:
         tail = (tail + chunk)[-_TAIL_SIZE:]
@@ -279,7 +285,7 @@
 
 
 def _send_end(client: socket.socket, data: bytes) -> None:
-    """Send the end of a stream to a caller that may have left."""
+    """Send the end of a stream to a caller that may have disconnected."""
     try:
         client.send(data)
     except OSError:
--- a/currantwall/transport/server.py
+++ b/currantwall/transport/server.py
@@ -1,8 +1,8 @@
-"""The HTTP server: routes that decorators register, on eventlet's WSGI.
+"""HTTP server on eventlet's WSGI server; decorators register the routes.
 
-eventlet's server gathers chunked output up to 4 KB before it writes, so
-streamed tokens would come in bursts; the minimum chunk size of 0 makes
-it write each piece at once.
+By default eventlet buffers chunked output up to 4 KB, so that streamed
+tokens would arrive in bursts. With a minimum chunk size of 0 it writes
+each piece at once.
 """
 
 from collections import abc
@@ -39,9 +39,9 @@
     """One request of a caller or operator.
 
     Attributes:
-        words: What the groups of the route's pattern matched.
+        path_params: Named groups that the route's pattern matched.
         target: Path with its query, as signed.
-        client: The caller's socket, for whoever writes to it directly.
+        client: The caller's socket, for handlers that write to it directly.
     """
 
     method: str
@@ -70,10 +70,12 @@
 
 
 class Handlers:
-    """Base of the objects that answer requests."""
+    """Base class of objects whose methods answer requests."""
 
-    def routes(self) -> abc.Iterator[tuple[str, re.Pattern[str], Handler]]:
-        """Yield method, pattern and handler of each marked method."""
+    def list_routes(
+        self,
+    ) -> abc.Iterator[tuple[str, re.Pattern[str], Handler]]:
+        """Yield method, pattern and handler of each registered route."""
         for name in dir(type(self)):
             registered = getattr(
                 getattr(type(self), name), _ROUTE_ATTRIBUTE, None
@@ -88,14 +90,18 @@
 
 
 class _QuietProtocol(eventlet.wsgi.HttpProtocol):
-    """Does not write a line for every malformed request."""
+    """Suppresses the log lines of malformed requests."""
 
     def log_message(self, format: str, *args: object) -> None:  # noqa: A002
         """Write nothing."""
 
 
 class Server:
-    """Owns the listening socket."""
+    """Listens at an address and dispatches requests to handlers.
+
+    Attributes:
+        in_flight: Number of requests whose answer is not completely sent.
+    """
 
     def __init__(
         self,
@@ -104,20 +110,19 @@
         body_limit: int,
     ) -> None:
         self._routes = [
-            entry for group in handlers for entry in group.routes()
+            entry for group in handlers for entry in group.list_routes()
         ]
         self._body_limit = body_limit
         self._socket = eventlet.listen(address, reuse_port=False)
-        # Taken over by accepted connections: the first token of a stream
+        # Accepted connections inherit this: the first token of a stream
         # must not wait for the acknowledgement of the headers.
         self._socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._pool = eventlet.GreenPool(_POOL_SIZE)
         self._closing = False
-        # Requests whose answer is not wholly sent yet.
         self.in_flight = 0
 
     def run(self) -> None:
-        """Serve until the socket is closed or the task is killed."""
+        """Serve requests until the socket closes or the task is killed."""
         eventlet.wsgi.server(
             self._socket,
             self._serve,
@@ -131,7 +136,7 @@
         )
 
     def begin_close(self) -> None:
-        """Ask callers to close their connections after each answer."""
+        """Send `Connection: close` with each further answer."""
         self._closing = True
 
     def _serve(
@@ -179,7 +184,7 @@
         return http_protocol.fail(status, "no_such_path", f"no {path}")
 
     def _read_body(self, environ: dict[str, typing.Any]) -> bytes | Response:
-        """Return the whole body, or why it is not taken."""
+        """Return the whole body, or an error response."""
         length = environ.get("CONTENT_LENGTH") or "0"
         if not length.isdecimal():
             status = http.HTTPStatus.BAD_REQUEST
@@ -210,10 +215,10 @@
 
 
 class _Body:
-    """A response body that says when it is done with.
+    """A response body that counts its request until it is closed.
 
-    The WSGI server calls `close` after the last byte is written, and
-    also when the caller has gone.
+    The WSGI server calls `close` after the last byte is written, and also
+    when the caller has disconnected.
     """
 
     def __init__(
@@ -229,7 +234,7 @@
         return self._body
 
     def close(self) -> None:
-        """Close what yields the body and count the request out."""
+        """Close the body's iterator and stop counting the request."""
         if not self._open:
             return
         self._open = False
@@ -276,5 +281,5 @@
 
 
 def mark_handled() -> None:
-    """Tell the server that the answer was written past it."""
+    """Tell the WSGI server that the answer was written to the socket."""
     eventlet.wsgi.WSGI_LOCAL.already_handled = True
--- a/currantwall/transport/services.py
+++ b/currantwall/transport/services.py
@@ -1,4 +1,4 @@
-"""Calls of plain services, keyed ones at most once."""
+"""Calls of plain services; those with an idempotency key run at most once."""
 
 import http
 import itertools
@@ -24,14 +24,16 @@
 __all__ = ["ServiceHandlers"]
 
 Response = http_protocol.Response
-# A caller that asks for its answer through another node waits this much
-# longer than the call itself may take.
+# Seconds by which the timeout of a call forwarded to its home node exceeds
+# the timeout of the call itself.
 _FORWARD_TIMEOUT_MARGIN = 2.0
+# Seconds after which a caller should retry a call whose key could not be
+# looked up in time.
 _RETRY_AFTER = 1.0
 
 
 class _CallResult(msgspec.Struct, frozen=True):
-    """What came of running a call."""
+    """Outcome of a call, its response, and the answer to store."""
 
     outcome: homes.Outcome
     response: Response
@@ -39,7 +41,7 @@
 
 
 class ServiceHandlers(server.Handlers):
-    """Passes calls to plain services."""
+    """Forwards calls to plain services."""
 
     def __init__(
         self,
@@ -59,7 +61,7 @@
 
     @server.route("POST", r"/v1/services/(?P<name>[^/]+)(?P<path>/.*)")
     def call_service(self, request: server.Request) -> Response:
-        """Pass a call to a plain service."""
+        """Forward a call to a plain service."""
         caller = self._callers.identify(request)
         if isinstance(caller, Response):
             return caller
@@ -124,7 +126,7 @@
         service: settings_module.ServiceSection,
         context: callers.CallContext,
     ) -> _CallResult:
-        """Run a call and say what is known of it."""
+        """Run a call, with retries, and return its result."""
         excluded: tuple[str, ...] = ()
         may_have_run = False
         for attempts in itertools.count(1):
@@ -189,7 +191,7 @@
             headers=callers.get_forwarded_headers(request),
             timeout=service.timeout,
             connect_timeout=self._settings.requests.connect_timeout,
-            fresh=not service.idempotent,
+            new_connection=not service.idempotent,
         )
         fetched = self._calls.fetch(call)
         error = fetched.err_value if isinstance(fetched, result.Err) else None
@@ -207,7 +209,7 @@
         service: settings_module.ServiceSection,
         home: keys.Home,
     ) -> Response:
-        """Pass a keyed call to its home and its answer back."""
+        """Forward a keyed call to its home node and return the answer."""
         member = self._core.node.nodes.get(home.node)
         if member is None:
             return callers.make_unknown_response("its home is gone")
--- a/currantwall/transport/splice.py
+++ b/currantwall/transport/splice.py
@@ -1,13 +1,13 @@
-"""Passing streamed bytes between two sockets without looking into them.
+"""Forwards streamed bytes between two sockets without parsing them.
 
-Once headers and the first chunk of a stream are out, the rest is the
-same bytes on both sides: chunk frames of the upstream, passed on as they
-are. One task with a poller of its own does this for all streams of the
-process; going through a green thread and the WSGI server for each token
-costs several times as much (docs/design/requests.md has the figures).
+After the headers and the first chunk of a stream, both sides carry the
+same bytes: the upstream's chunks are forwarded as they are. One task with
+its own poller does this for all streams of the process. Using a green
+thread and the WSGI server for each token costs several times as much
+(docs/design/requests.md has the figures).
 
-Only the last bytes are kept, to find the end of the stream and whether
-it was whole.
+Only the last bytes of a stream are kept, to detect its end and whether it
+is complete.
 """
 
 import socket
@@ -33,16 +33,25 @@
 _RECEIVE_SIZE = 65_536
 _LAST_CHUNK = b"\r\n0\r\n\r\n"
 _DONE_EVENT = b"data: [DONE]"
-# Where an own chunk may follow: after a whole event in a whole chunk.
+# End of a chunk that ends with a complete event: a chunk of this process
+# may follow.
 _EVENT_BOUNDARY = b"\n\n\r\n"
+# Bytes of a stream's end that are kept.
 _TAIL_SIZE = 64
 _SWEEP_INTERVAL = 1.0
-# Ready sockets served in one go before other tasks get a turn.
+# Most ready sockets served before other tasks run.
 _MAX_READY = 256
 
 
 class _Stream:
-    """One stream on its way."""
+    """One stream that is being forwarded.
+
+    Attributes:
+        tail: Its last bytes.
+        pending: Bytes that the caller's socket did not accept yet.
+        last_received: Monotonic time of the upstream's last bytes.
+        done: Sent the failure of the stream, or None, when it ends.
+    """
 
     def __init__(
         self,
@@ -62,23 +71,27 @@
 
     @property
     def is_whole(self) -> bool:
-        """Return whether the stream ended with its marks."""
+        """Return whether the stream has its last event and last chunk."""
         return self.tail.endswith(_LAST_CHUNK) and _DONE_EVENT in self.tail
 
 
 class Splicer:
-    """Owns the poller and the streams under way."""
+    """Forwards all streams of a process.
+
+    Attributes:
+        chunks: Number of blocks of bytes forwarded so far.
+    """
 
     def __init__(self, idle_timeout: float) -> None:
         self._idle = idle_timeout
-        # The patched module has no poller; this one never blocks.
+        # eventlet's patched module has no epoll; this one never blocks.
         self._poller = _select.epoll()
         self._streams: dict[int, _Stream] = {}
         self._running = False
         self.chunks = 0
 
     def run(self) -> None:
-        """Serve all streams for ever."""
+        """Forward all streams; does not return."""
         self._running = True
         next_sweep = time.monotonic() + _SWEEP_INTERVAL
         descriptor = self._poller.fileno()
@@ -108,14 +121,17 @@
         first: bytes,
         peer: str,
     ) -> errors.CallError | None:
-        """Pass a stream on until its end; return how it failed.
+        """Forward a stream until it ends.
 
         Args:
-            upstream: Where the rest of the stream comes from.
-            caller: Where it goes.
-            first: Bytes of the stream that are read already and passed
-                on from here; they begin a chunk.
+            upstream: Socket to read the rest of the stream from.
+            caller: Socket to write it to.
+            first: Bytes that were read already but not forwarded; they
+                begin a chunk.
             peer: Name of the upstream, for errors.
+
+        Returns:
+            How the stream failed, None if it is complete.
         """
         stream = _Stream(upstream, caller, b"", peer)
         if not self._forward(stream, first):
@@ -134,10 +150,10 @@
     # -- The poller
 
     def _update_interest(self, stream: _Stream) -> None:
-        """Wait for the upstream, or for the caller to take what is held.
+        """Register the events that a stream waits for.
 
-        While the caller does not take it, the upstream is not read, so a
-        slow caller holds back its own stream and no memory grows.
+        The upstream is not read while bytes for the caller are pending, so
+        a slow caller delays only its own stream and memory use is bounded.
         """
         if stream.pending:
             self._set_flags(stream.caller, _EPOLLOUT)
@@ -210,7 +226,16 @@
     def _forward(
         self, stream: _Stream, data: bytes, is_retry: bool = False
     ) -> bool:
-        """Send what the caller takes now; return whether it is there."""
+        """Send bytes to the caller without blocking.
+
+        Args:
+            stream: The stream.
+            data: The bytes; those not accepted become pending.
+            is_retry: Whether they were pending before.
+
+        Returns:
+            Whether the caller is still connected.
+        """
         if not is_retry:
             stream.tail = (stream.tail + data)[-_TAIL_SIZE:]
             stream.last_received = time.monotonic()
@@ -233,7 +258,7 @@
 
     @staticmethod
     def _check_end(stream: _Stream) -> errors.CallError | None:
-        """Return what is wrong with a stream that ended by itself."""
+        """Return the failure of a stream that has sent its last chunk."""
         if stream.is_whole:
             return None
         return _make_error(
@@ -242,7 +267,7 @@
 
     @staticmethod
     def _make_cut_error(stream: _Stream) -> errors.CallError:
-        """Return the failure of a stream whose upstream is gone."""
+        """Return the failure of a stream whose upstream disconnected."""
         at_boundary = stream.tail.endswith(_EVENT_BOUNDARY)
         detail = "at a boundary" if at_boundary else "inside a chunk"
         return _make_error(stream.peer, errors.Failure.TRUNCATED, detail)
@@ -254,7 +279,7 @@
             stream.done.send(failure)
 
     def _sweep(self, now: float) -> None:
-        """End the streams that stand still."""
+        """End the streams that were idle for too long."""
         for stream in set(self._streams.values()):
             if now - stream.last_received > self._idle:
                 stalled = errors.Failure.TIMEOUT
@@ -268,5 +293,5 @@
 
 
 def ends_at_boundary(failure: errors.CallError) -> bool:
-    """Return whether an event of our own may still be appended."""
+    """Return whether an error event may follow a truncated stream."""
     return failure.detail == "at a boundary"
--- a/currantwall/transport/upstreams.py
+++ b/currantwall/transport/upstreams.py
@@ -21,12 +21,16 @@
 
 __all__ = ["Call", "Stream", "Upstreams"]
 
+# Most connections kept for each upstream.
 _MAX_CONNECTIONS = 64
+# Most upstreams to which connections are kept.
 _MAX_POOLS = 4096
+# Sizes in bytes.
 _MAX_REPORT_SIZE = 65_536
 _MAX_ANSWER_SIZE = 16_777_216
 _READ_SIZE = 65_536
-# Headers that speak of one connection and are not passed on.
+# Headers of an answer that apply to a single connection or server and are
+# not forwarded.
 _HOP_HEADERS = frozenset(
     (
         "connection",
@@ -51,8 +55,8 @@
     """One request to an upstream.
 
     Attributes:
-        fresh: Whether to use a connection of its own, so that a failed
-            connect proves that no byte of the request left.
+        new_connection: Whether to use a new connection, so that a failed
+            connect proves that no byte of the request was sent.
     """
 
     address: str
@@ -62,11 +66,11 @@
     method: str = "POST"
     timeout: float = 30.0
     connect_timeout: float = 0.5
-    fresh: bool = False
+    new_connection: bool = False
 
 
 class Stream:
-    """An answer whose body is still coming."""
+    """An answer whose body is still arriving."""
 
     def __init__(self, peer: str, response: urllib3.BaseHTTPResponse) -> None:
         self._peer = peer
@@ -75,7 +79,11 @@
         self.headers = _drop_hop_headers(response)
 
     def read_chunks(self) -> abc.Iterator[bytes]:
-        """Yield the body as it comes; raises `StreamCut` when cut."""
+        """Yield the body as it arrives.
+
+        Raises:
+            StreamCut: The connection failed before the end of the body.
+        """
         try:
             yield from self._response.stream(_READ_SIZE, decode_content=False)
         except (urllib3.exceptions.HTTPError, OSError) as error:
@@ -89,12 +97,12 @@
         return bool(getattr(self._response, "chunked", False))
 
     def detach(self) -> tuple[socket.socket, bytes]:
-        """Return the socket and the bytes that were read ahead.
+        """Return the socket and the bytes that were already buffered.
 
-        To be called between two chunks; the next byte begins a chunk.
-        Waits for more bytes when none were read ahead. urllib3 and
-        http.client have no public way to this, so their versions are
-        pinned and a test goes through here.
+        Must be called between two chunks; the next byte begins a chunk.
+        Waits for more bytes if none are buffered. urllib3 and http.client
+        have no public interface for this, so their versions are pinned and
+        a test covers it.
         """
         raw = self._response._fp  # noqa: SLF001
         connection = self._response._connection  # noqa: SLF001
@@ -103,14 +111,14 @@
         return getattr(green, "fd", green), buffered
 
     def close(self) -> None:
-        """Close the connection unless the body was read to its end."""
+        """Release the connection; close it if the body was not read whole."""
         if not self._response.isclosed():
             self._response.close()
         self._response.release_conn()
 
 
 class StreamCut(Exception):  # noqa: N818
-    """A body ended before its end."""
+    """A connection failed before the end of the body."""
 
     def __init__(self, error: errors.CallError) -> None:
         super().__init__(str(error))
@@ -118,7 +126,7 @@
 
 
 class Upstreams:
-    """Owns the connections to upstream instances."""
+    """Sends probes, orders and requests to upstream instances."""
 
     def __init__(
         self,
@@ -135,8 +143,9 @@
             retries=False,
             block=False,
         )
-        # Probes keep connections of their own: they must not wait behind
-        # requests, and a broken one must not be blamed on the instance.
+        # Probes and orders have connections of their own, so that they
+        # don't wait for requests, and so that a broken connection of a
+        # request does not count against the instance.
         self._probe_pool = urllib3.PoolManager(
             num_pools=_MAX_POOLS, maxsize=2, retries=False, block=False
         )
@@ -145,12 +154,12 @@
 
     @coordinator.performs(actions.Probe)
     def probe(self, action: actions.Probe) -> None:
-        """Ask an instance for its report."""
+        """Request the report of an instance."""
         eventlet.spawn_n(self._probe, action)
 
     @coordinator.performs(actions.SendOrder)
     def send_order(self, action: actions.SendOrder) -> None:
-        """Send an order before its deadline, or not at all."""
+        """Send an order, unless its lifetime would exceed the deadline."""
         eventlet.spawn_n(self._send_order, action)
 
     def _probe(self, action: actions.Probe) -> None:
@@ -183,7 +192,7 @@
         ):
             return outcomes.TIMEOUT, None
         if report.instance != action.instance:
-            # Another instance has the address now: ours is gone.
+            # Another instance has the address now: the probed one is gone.
             return outcomes.REFUSED, None
         return outcomes.ANSWERED, report
 
@@ -214,12 +223,12 @@
     # -- Requests
 
     def open(self, call: Call) -> result.Result[Stream, errors.CallError]:
-        """Send a request and return its answer once the headers are in."""
+        """Send a request; return its answer when the headers arrived."""
         url = f"http://{call.address}{call.path}"
         timeout = urllib3.Timeout(
             connect=call.connect_timeout, read=call.timeout
         )
-        pool = self._make_pool() if call.fresh else self._pool
+        pool = self._make_pool() if call.new_connection else self._pool
         try:
             response = pool.request(
                 call.method,
@@ -277,7 +286,7 @@
 
 
 def _make_call_error(error: Exception, peer: str) -> errors.CallError:
-    """Return the typed form of an error of urllib3 or a socket."""
+    """Return the `CallError` for an error of urllib3 or of a socket."""
     exceptions = urllib3.exceptions
     detail = str(error)
     if isinstance(
