--- a/tests/test_ingress.py
+++ b/tests/test_ingress.py
@@ -1,4 +1,4 @@
-"""The server for callers, with a handler of the test's own."""
+"""Tests of the server for callers, with handlers of their own."""
 
 import socket
 import unittest
@@ -18,7 +18,7 @@
 
 class IngressTest(unittest.TestCase):
     def serve(self, handler):
-        """Start a server; return its shared part and its address."""
+        """Start a server; return its `Ingress` and its address."""
         shared = ingress.Ingress(
             handler, routes.Limits, timers.TimerService.now
         )
@@ -34,25 +34,24 @@
             client.shutdown(socket.SHUT_WR)
             return b"".join(iter(lambda: client.recv(65_536), b""))
 
-    def test_a_mistake_in_the_handler_is_answered_and_told(self):
-        """A caller would see its connection close without an answer.
+    def test_an_error_in_the_handler_is_answered_and_reported(self):
+        """Failure: the connection closes without an answer or a log line.
 
-        The handler fails for a reason nobody thought of; the log must
-        say which, or nobody ever learns of it.
+        The handler raises an exception that it does not expect.
         """
 
         def fail(inbound):
             raise KeyError("unheard of")
 
         shared, address = self.serve(fail)
-        told = []
-        shared.on_error = told.append
+        reported = []
+        shared.on_error = reported.append
         answer = self.ask(address)
         self.assertTrue(answer.startswith(b"HTTP/1.1 500 "))
-        self.assertEqual([str(one) for one in told], ["'unheard of'"])
+        self.assertEqual([str(error) for error in reported], ["'unheard of'"])
 
     def test_a_stream_that_is_cut_does_not_look_complete(self):
-        """A caller would take the half of a note for the whole."""
+        """Failure: the caller takes a truncated answer for a complete one."""
 
         def cut(inbound):
             def parts():
@@ -66,7 +65,7 @@
         self.assertIn(b"half", answer)
         self.assertFalse(answer.endswith(b"0\r\n\r\n"))
 
-    def test_a_kept_connection_serves_one_request_after_the_other(self):
+    def test_a_keep_alive_connection_serves_several_requests(self):
         def echo(inbound):
             return ingress.Reply(
                 status=200, headers=[], body=inbound.target.encode()
@@ -77,7 +76,7 @@
         self.assertEqual(answer.count(b"HTTP/1.1 200 OK"), 2)
         self.assertTrue(answer.endswith(b"/y"))
 
-    def test_a_closing_server_says_so_with_each_answer(self):
+    def test_a_closing_server_closes_the_connection_with_each_answer(self):
         shared, address = self.serve(
             lambda _: ingress.Reply(status=200, headers=[], body=b"")
         )
@@ -86,7 +85,7 @@
 
 
 _HIDDEN = b"GET /hidden HTTP/1.1\r\nHost: h\r\n\r\n"
-# Parts of requests whose end two parsers may see in different places.
+# Header lines by which two parsers may find different ends of a request.
 _FRAMINGS = (
     b"",
     b"Content-Length: %d\r\n",
@@ -119,18 +118,18 @@
 
 
 def read_naively(data):
-    """Return the requests in some bytes as the standard words them.
+    """Return the requests in some bytes, parsed according to RFC 9112.
 
-    A second, plain reading: any doubt about where a request ends stops
-    it, and nothing after that is a request.
+    This is a second, simple parser for comparison. It stops at the first
+    request whose end is ambiguous.
     """
-    found = []
+    parsed = []
     while data:
-        # Empty lines before a request are passed over (RFC 9112, 2.2).
+        # Empty lines before a request are ignored (RFC 9112, 2.2).
         while data.startswith(b"\r\n"):
             data = data[2:]
-        head, mark, rest = data.partition(b"\r\n\r\n")
-        if not mark:
+        head, end, rest = data.partition(b"\r\n\r\n")
+        if not end:
             break
         first, *lines = head.split(b"\r\n")
         words = first.split(b" ")
@@ -139,16 +138,16 @@
         fields = [line.partition(b":")[::2] for line in lines]
         if any(not name or name != name.strip() for name, _ in fields):
             break
-        read = read_body(fields, rest)
-        if read is None:
+        body_and_rest = split_body(fields, rest)
+        if body_and_rest is None:
             break
-        body, data = read
-        found.append((words[1].decode(), body))
-    return found
+        body, data = body_and_rest
+        parsed.append((words[1].decode(), body))
+    return parsed
 
 
-def read_body(fields, data):
-    """Return a body and what follows it; None where its end is unclear."""
+def split_body(fields, data):
+    """Return a body and what follows it; None if its end is ambiguous."""
     lengths = [v.strip() for n, v in fields if n == b"Content-Length"]
     codings = [v for n, v in fields if n == b"Transfer-Encoding"]
     if len(lengths) + len(codings) > 1:
@@ -162,16 +161,16 @@
         return b"", data
     if codings[0].strip(b" \t").lower() != b"chunked":
         return None
-    return read_chunks(data)
+    return split_chunks(data)
 
 
-def read_chunks(data):
-    """Return a chunked body and what follows it; None for a bad one."""
+def split_chunks(data):
+    """Return a chunked body and what follows it; None if it is invalid."""
     body = b""
     while True:
-        line, mark, data = data.partition(b"\r\n")
+        line, end, data = data.partition(b"\r\n")
         size = line.partition(b";")[0].strip()
-        if not mark or not size or size.strip(b"0123456789abcdefABCDEF"):
+        if not end or not size or size.strip(b"0123456789abcdefABCDEF"):
             return None
         if not int(size, 16):
             break
@@ -180,8 +179,8 @@
             return None
         body, data = body + chunk, data[2:]
     while True:
-        line, mark, data = data.partition(b"\r\n")
-        if not mark:
+        line, end, data = data.partition(b"\r\n")
+        if not end:
             return None
         if not line:
             return body, data
@@ -189,7 +188,7 @@
 
 class ListenerTest(unittest.TestCase):
     def test_a_process_listens_while_its_predecessor_ends(self):
-        """A node that was started again could not listen, and ended."""
+        """Failure: a restarted node can't bind its address, and exits."""
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             port = free.getsockname()[1]
@@ -200,7 +199,7 @@
 
 
 class FuzzTest(unittest.TestCase):
-    """What callers may send, well formed or not, against a plain reading."""
+    """Compares the server with the reference parser on random requests."""
 
     def setUp(self):
         self.handled = []
@@ -227,7 +226,7 @@
                 while client.recv(65_536):
                     continue
             except OSError:
-                # Refused before all of it was read.
+                # The server refused it before it was read completely.
                 return
             finally:
                 client.close()
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,7 +1,7 @@
-"""One entry before misbehaving upstreams and callers, over sockets.
+"""Tests of one entry with faulty upstreams and callers, over sockets.
 
-No test here asserts how long something takes; the waits only bound a run
-that has gone wrong.
+No test asserts how long something takes; the timeouts only end a run that
+fails.
 """
 
 import socket
@@ -127,8 +127,8 @@
 
 class UpstreamTest(SocketCase):
     def test_cut_stream_is_not_passed_off_as_whole(self) -> None:
-        # The engine dies in the middle of an answer. The counter clerk
-        # must not read the beginning as the whole advice.
+        # Failure: the engine dies in the middle of an answer, and the
+        # caller takes the truncated answer for a complete one.
         self.set_engine_faults(cut_after=3)
         try:
             response = self.chat(stream=True)
@@ -150,8 +150,8 @@
         self.assertEqual(wanted[:50], tokens)
 
     def test_shedding_engine_is_not_asked_again(self) -> None:
-        # One engine refuses for load; the other answers. With both
-        # refusing, the caller is told at once when to come back.
+        # One overloaded engine refuses requests and the other answers. If
+        # both refuse, the caller gets a Retry-After immediately.
         self.set_faults("engine-1", {"refuse": True})
         self.addCleanup(self.set_faults, "engine-1", {})
         for _ in range(4):
@@ -163,16 +163,16 @@
         self.assertEqual("not-run", response.headers["Currantwall-Outcome"])
 
     def test_stalled_engine_gives_an_error_in_time(self) -> None:
-        # Both engines take the request and say nothing. They may have
-        # run it, so "not run" must not be said.
+        # Both engines accept the request and never answer. They may have
+        # run it, so the outcome must not be "not-run".
         self.set_engine_faults(stall=30)
         response = self.chat()
         self.assertEqual(503, response.status)
         self.assertEqual("unknown", response.headers["Currantwall-Outcome"])
 
     def test_slow_booking_is_unknown_and_never_repeated(self) -> None:
-        # The service takes a booking and does not answer in time. It may
-        # have run, so it is not run again, whoever asks.
+        # The service accepts a booking and does not answer in time. It may
+        # have run, so no further call with its key runs it again.
         self.set_faults("reorders-1", {"work_time": 30})
         self.addCleanup(self.set_faults, "reorders-1", {})
         entries = self.fleet.request("GET", "e1", "/v1/entries")
@@ -190,8 +190,8 @@
         self.assertEqual(1, msgspec.json.decode(runs.data)["slow order"])
 
     def test_refused_booking_is_not_run(self) -> None:
-        # The service says that it did not run the call; the same key
-        # runs once it is willing again.
+        # The service answers that it did not run the call. A later call
+        # with the same key runs once the service accepts calls again.
         entries = self.fleet.request("GET", "e1", "/v1/entries")
         prefix = msgspec.json.decode(entries.data)["key_prefix"]
         headers = {"Idempotency-Key": f"{prefix}refused"}
@@ -251,14 +251,14 @@
                 self.check_error(response, status, reason)
 
     def test_operators_calls_must_be_signed(self) -> None:
-        # Somebody on the network without the key edits a profile.
+        # Failure: someone without the operators' key edits a profile.
         path = "/v1/admin/profiles/counter?expected=1"
         for headers in ({}, {"Currantwall-Signature": "1:00"}):
             response = self.fleet.request("PUT", "e1", path, b"{}", headers)
             self.check_error(response, 401, "bad_signature")
 
     def test_half_sent_requests_do_not_stop_the_others(self) -> None:
-        # Callers open connections and send half a request, or vanish.
+        # Callers open connections and send incomplete requests, or none.
         host, _, port = self.fleet.addresses["e1"].rpartition(":")
         half = (
             b"POST /v1/chat/completions HTTP/1.1\r\n"
@@ -286,8 +286,8 @@
 
 class ToolTest(SocketCase):
     def test_racing_edits_get_a_conflict(self) -> None:
-        # Two operators edit the same profile; the second one's edit was
-        # based on the version before the first one's.
+        # Two operators edit the same profile; the second edit is based on
+        # the version before the first edit.
         file = self.fleet.path / "edit.ini"
         file.write_text(_PROFILE + "concurrency = 8\n")
         first = self.fleet.run_tool("e1", "profile", "apply", str(file))
@@ -335,8 +335,8 @@
         self.assertEqual(4, done.returncode)
 
     def test_planned_stop_of_an_instance_finishes(self) -> None:
-        # The instance leaves its replica, which is rebuilt or drained,
-        # and the stop says so. Then it is cancelled.
+        # The instance leaves its replica, which is rebuilt or drained, and
+        # the stop is shown as finished. Then the stop is cancelled.
         planned = self.fleet.read_json(
             "e1", "stop", "plan", "instance", "engine-2"
         )
