--- a/currantwall/transport/server.py
+++ b/currantwall/transport/server.py
@@ -28,8 +28,11 @@
 ]
 
 _ROUTE_ATTRIBUTE = "_route"
+# Most connections served at the same time.
 _POOL_SIZE = 4096
+# Bytes.
 _MAX_URL_SIZE = 8192
+# Socket timeout in seconds.
 _IDLE_TIMEOUT = 75
 Response = http_protocol.Response
 Handler = abc.Callable[..., Response]
--- a/currantwall/transport/splice.py
+++ b/currantwall/transport/splice.py
@@ -38,6 +38,7 @@
 _EVENT_BOUNDARY = b"\n\n\r\n"
 # Bytes of a stream's end that are kept.
 _TAIL_SIZE = 64
+# Seconds between two checks for idle streams.
 _SWEEP_INTERVAL = 1.0
 # Most ready sockets served before other tasks run.
 _MAX_READY = 256
--- a/currantwall/transport/streams.py
+++ b/currantwall/transport/streams.py
@@ -146,8 +146,8 @@
             now = self._sender.now()
             silent_since = current.last_message_at
             if stall_timeout is None:
-                # Until then messages to other requests show that the
-                # upstream works.
+                # Before the first event, messages that answer other
+                # requests show that the upstream works.
                 last_message = self._sender.get_last_message_time(
                     current.upstream.id
                 )
