--- a/currantwall/transport/callers.py
+++ b/currantwall/transport/callers.py
@@ -1,4 +1,8 @@
-"""What all requests of callers share: who asks, routes, retries, ends."""
+"""Handling that all callers' requests share.
+
+Identifies callers, reads their headers, requests routes, decides on
+retries and reports how attempts end.
+"""
 
 from collections import abc
 import http
@@ -23,21 +27,22 @@
 
 __all__ = [
     "CALLER_LEFT",
+    "CallContext",
     "Callers",
     "EntryHandlers",
-    "Wish",
-    "make_refused",
-    "name_outcome",
-    "pass_headers",
-    "say_unknown",
+    "choose_outcome",
+    "get_forwarded_headers",
+    "make_refused_error",
+    "make_unknown_response",
 ]
 
 Response = http_protocol.Response
 _KIND_HEADER = "Currantwall-Kind"
 _DEADLINE_HEADER = "Currantwall-Deadline"
-# The queue answers by the deadline; this only guards against a bug.
-_QUEUE_SLACK = 1.0
-_PASSED_HEADERS = (
+# Seconds by which the timeout exceeds the deadline. The queue answers by the
+# deadline; the timeout only guards against a bug in it.
+_QUEUE_TIMEOUT_MARGIN = 1.0
+_FORWARDED_HEADERS = (
     "currantwall-kind",
     "content-type",
     "accept",
@@ -45,18 +50,23 @@
     "tracestate",
     "baggage",
 )
-_RETRY_LATER = 1.0
+# Seconds after which a caller should retry a failed request.
+_RETRY_AFTER = 1.0
+# Ends an attempt whose caller has disconnected.
 CALLER_LEFT = errors.CallError(
     errors.Step.BODY, "caller", errors.Failure.CLOSED
 )
 _ANONYMOUS = ids.OrganisationName("")
 
 
-class Wish(msgspec.Struct, frozen=True):
-    """Who asks, what the answer is worth, and until when.
+class CallContext(msgspec.Struct, frozen=True):
+    """Organisation, weight and deadline of a request.
 
     Attributes:
-        deadline: Monotonic time of this process.
+        organisation: The caller's organisation.
+        weight: Weight of the request's kind.
+        deadline: Monotonic time of this process by which it must be
+            answered.
     """
 
     organisation: ids.OrganisationName
@@ -65,7 +75,7 @@
 
 
 class Callers:
-    """What the handlers of callers' requests share in one process."""
+    """State that the handlers of callers' requests share."""
 
     def __init__(
         self,
@@ -82,17 +92,20 @@
             requests.retry_share, requests.attempts
         )
         self._tokens = {
-            one.token: one.name for one in self._settings.organisations
+            section.token: section.name
+            for section in self._settings.organisations
+        }
+        self._kinds = {
+            section.name: section for section in self._settings.kinds
         }
-        self._kinds = {one.name: one for one in self._settings.kinds}
         self._attempts = itertools.count(1)
 
-    # -- Who asks
+    # -- Callers
 
     def identify(
         self, request: server.Request
     ) -> ids.OrganisationName | Response:
-        """Return the organisation of a caller, or the refusal."""
+        """Return the organisation of a caller, or an error response."""
         if not self._tokens:
             return _ANONYMOUS
         value = request.headers.get("authorization", "")
@@ -104,10 +117,10 @@
             return http_protocol.fail(status, "unknown_caller", message)
         return name
 
-    def read_wish(
+    def read_context(
         self, request: server.Request, caller: ids.OrganisationName
-    ) -> Wish | Response:
-        """Return what a caller wants besides the answer itself."""
+    ) -> CallContext | Response:
+        """Return the context of a request, or an error response."""
         name = request.headers.get(_KIND_HEADER.lower(), "")
         kind = self._kinds.get(name)
         if name and kind is None:
@@ -118,24 +131,29 @@
         seconds = self._settings.requests.timeout
         if kind is not None and kind.deadline:
             seconds = min(seconds, kind.deadline)
-        given = request.headers.get(_DEADLINE_HEADER.lower(), "")
-        if given:
+        text = request.headers.get(_DEADLINE_HEADER.lower(), "")
+        if text:
             try:
-                seconds = min(seconds, float(given))
+                seconds = min(seconds, float(text))
             except ValueError:
                 status = http.HTTPStatus.BAD_REQUEST
                 message = f"{_DEADLINE_HEADER}: expected seconds"
                 return http_protocol.fail(status, "bad_deadline", message)
         weight = kind.weight if kind else 1.0
-        return Wish(caller, weight, self._clock.now() + seconds)
+        return CallContext(caller, weight, self._clock.now() + seconds)
 
-    def ask_route(
+    def request_route(
         self,
         make: abc.Callable[[int], routing.RouteRequested],
         deadline: float,
     ) -> routing.Route | routing.Refusal:
-        """Return a route, waiting in the queue up to the deadline."""
-        wait = max(0.0, deadline - self._clock.now()) + _QUEUE_SLACK
+        """Return a route, after waiting in the queue if necessary.
+
+        Args:
+            make: Makes the message to the node from the number of the call.
+            deadline: Monotonic time at which to stop waiting.
+        """
+        wait = max(0.0, deadline - self._clock.now()) + _QUEUE_TIMEOUT_MARGIN
         answer = self._core.ask(make, wait, admission.Cancelled)
         if answer is None:
             return routing.Refusal(
@@ -147,27 +165,31 @@
     def decide_retry(
         self, failure: retries.AttemptFailure, error: errors.CallError
     ) -> Response | None:
-        """Wait before a retry, or return the final answer."""
+        """Wait for the backoff of a retry, or return an error response."""
         decision = self._retries.decide(failure, self._clock.now())
         self._meter.add(actions.Counter.RETRIES.value, 1, decision.value)
         if decision is retries.RetryDecision.RETRY:
             eventlet.sleep(retries.compute_backoff(failure.attempts))
             return None
-        unknown = failure.may_have_run and not failure.idempotent
-        if unknown:
-            return say_unknown(str(error))
+        is_unknown = failure.may_have_run and not failure.idempotent
+        if is_unknown:
+            return make_unknown_response(str(error))
         return http_protocol.fail(
             http.HTTPStatus.SERVICE_UNAVAILABLE,
             f"upstream_{decision.value}",
             str(error),
-            name_outcome(failure.may_have_run),
-            _RETRY_LATER,
+            choose_outcome(failure.may_have_run),
+            _RETRY_AFTER,
         )
 
     def end_attempt(
         self, route: routing.Route, error: errors.CallError | None
     ) -> None:
-        """Tell the node of an end and of the failure behind it."""
+        """Report the end of an attempt to the node.
+
+        A failure in which the request certainly did not run is reported as
+        evidence against the upstream too.
+        """
         kinds = routing.EndKind
         if error is None:
             kind = kinds.ANSWERED
@@ -175,17 +197,17 @@
             kind = kinds.ABANDONED
         else:
             kind = kinds.FAILED
-        self.tell_end(route, kind)
+        self.report_end(route, kind)
         if error is not None and not error.may_have_run:
             failed = evidence.UpstreamFailed(route.subject, route.generation)
             self._core.tell(failed)
 
-    def tell_end(self, route: routing.Route, kind: routing.EndKind) -> None:
-        """Tell the node how an attempt ended."""
+    def report_end(self, route: routing.Route, kind: routing.EndKind) -> None:
+        """Report to the node how an attempt ended."""
         self._core.tell(routing.AttemptEnded(route.attempt, kind))
 
     def next_attempt(self) -> ids.AttemptId:
-        """Return an attempt id not used before."""
+        """Return an attempt id that was not used before."""
         me = self._core.node.nodes.me
         number = next(self._attempts)
         return ids.AttemptId(f"{me.id}.{me.incarnation}.{number}")
@@ -195,12 +217,12 @@
         self._meter.add(actions.Counter.REQUESTS.value, 1, kind)
 
     def earn_retry(self) -> None:
-        """Note a new request: it earns its share of a retry."""
+        """Add a new request's share to the retry budget."""
         self._retries.earn()
 
 
 class EntryHandlers(server.Handlers):
-    """Tells callers which addresses to use."""
+    """Answers which entries a caller should use."""
 
     def __init__(
         self, core: coordinator.Coordinator, clock: timers.TimerService
@@ -210,26 +232,28 @@
 
     @server.route("GET", r"/v1/entries")
     def list_entries(self, request: server.Request) -> Response:
-        """Return the addresses that a caller should use."""
+        """Return the addresses of the entries of a data centre."""
         node = self._core.node
-        home = node.nodes.me.datacentre
-        wanted = request.query.get("datacentre", home)
+        own = node.nodes.me.datacentre
+        wanted = request.query.get("datacentre", own)
         prefix = node.homes.make_prefix(self._clock.now())
-        chosen = node.entries.choose(ids.DatacentreName(wanted), prefix)
-        return http_protocol.make_json(chosen)
+        entries = node.entries.choose(ids.DatacentreName(wanted), prefix)
+        return http_protocol.make_json(entries)
 
 
-def pass_headers(request: server.Request) -> tuple[tuple[str, str], ...]:
-    """Return the headers that are passed on to an upstream."""
+def get_forwarded_headers(
+    request: server.Request,
+) -> tuple[tuple[str, str], ...]:
+    """Return the headers that are forwarded to an upstream."""
     return tuple(
         (name, request.headers[name])
-        for name in _PASSED_HEADERS
+        for name in _FORWARDED_HEADERS
         if name in request.headers
     )
 
 
-def make_refused(peer: str, status: int) -> errors.CallError:
-    """Return the error of an upstream that says it ran nothing."""
+def make_refused_error(peer: str, status: int) -> errors.CallError:
+    """Return the error for a status that says the request did not run."""
     return errors.CallError(
         errors.Step.CONNECT,
         peer,
@@ -238,15 +262,15 @@
     )
 
 
-def name_outcome(doubt: bool) -> homes.Outcome:
-    """Return what may be said of a request that failed."""
-    if doubt:
+def choose_outcome(may_have_run: bool) -> homes.Outcome:
+    """Return the outcome of a failed request."""
+    if may_have_run:
         return homes.Outcome.UNKNOWN
     return homes.Outcome.NOT_RUN
 
 
-def say_unknown(detail: str) -> Response:
-    """Return the response for a call that may have run."""
+def make_unknown_response(detail: str) -> Response:
+    """Return the error response for a call that may have run."""
     return http_protocol.fail(
         http.HTTPStatus.BAD_GATEWAY,
         "outcome_unknown",
--- a/currantwall/transport/exchanges.py
+++ b/currantwall/transport/exchanges.py
@@ -1,8 +1,8 @@
 """One request to one upstream, run by a task of its own.
 
-The task owns the connection and tells what happens by messages into the
-inbox of whoever serves the caller. That one can so wait for several
-things at once: the answer, the caller's leaving and the time.
+The task owns the connection and reports by messages to the inbox of the
+task that serves the caller. That task can therefore wait for the answer,
+for the caller to disconnect and for a timeout at once.
 """
 
 import http.client
@@ -35,19 +35,20 @@
 
 _select = eventlet.patcher.original("select").select
 
-# Seconds to wait for a new connection. Between data centres the way there
-# and back takes 3 ms; a lost opening packet is repeated after a second.
+# Timeout of a new connection in seconds. The round trip between data
+# centres takes 3 ms; TCP sends a lost SYN again after a second.
 _CONNECT_TIMEOUT = 0.4
-# Milliseconds after which the kernel gives up unacknowledged bytes: shows
-# a peer that has vanished without a reset.
+# Milliseconds after which the kernel closes a connection with
+# unacknowledged bytes. Detects a peer that vanished without a reset.
 _USER_TIMEOUT_MS = 3000
-# Seconds an idle connection is kept where the upstream names none.
-_IDLE_DEFAULT = 4.0
-# Seconds before the upstream's own limit at which it is not used again.
-_IDLE_MARGIN = 1.0
-# Idle connections kept for each upstream.
-_IDLE_LIMIT = 8
-# Messages that wait in an inbox before the upstream is held back.
+# Seconds to keep an idle connection if the upstream sends no timeout.
+_DEFAULT_KEEP_ALIVE = 4.0
+# Seconds before the upstream's timeout at which an idle connection is no
+# longer reused, because the upstream may be about to close it.
+_KEEP_ALIVE_MARGIN = 1.0
+# Most idle connections kept for each upstream.
+_MAX_IDLE = 8
+# Messages in an inbox above which the upstream is not read.
 _INBOX_LIMIT = 64
 _READ_SIZE = 65_536
 
@@ -59,18 +60,21 @@
 
     Attributes:
         target: Path and query, byte for byte as the caller sent them.
-        timeout: Seconds without a byte after which it is given up.
-        fresh: Whether it needs a connection of its own, so that a reset
-            is never the late end of a connection that was idle.
+        attempt_id: Id of the request, which the answer must repeat before
+            its connection is used again.
+        timeout: Seconds without a byte sent or received after which it
+            fails.
+        new_connection: Whether it needs a new connection, so that a reset
+            can't come from the upstream closing an idle connection.
     """
 
     method: str
     target: str
     headers: tuple[tuple[str, str], ...]
     body: bytes | None
-    attempt: str
+    attempt_id: str
     timeout: float
-    fresh: bool
+    new_connection: bool
 
 
 class Head(msgspec.Struct, frozen=True):
@@ -82,14 +86,14 @@
 
 
 class Data(msgspec.Struct, frozen=True):
-    """A part of the body."""
+    """Part of the body of an answer."""
 
     exchange: int
     data: bytes
 
 
 class End(msgspec.Struct, frozen=True):
-    """The body is complete."""
+    """The body of the answer is complete."""
 
     exchange: int
 
@@ -98,22 +102,28 @@
     """The exchange broke off.
 
     Attributes:
-        sent: Whether a part of the request may have reached the upstream.
+        may_have_sent: Whether part of the request may have reached the
+            upstream.
+        step: What failed: connect, send, head or body.
     """
 
     exchange: int
-    sent: bool
+    may_have_sent: bool
     step: str
     detail: str
 
 
 class _Idle(msgspec.Struct, frozen=True):
     connection: urllib3.connection.HTTPConnection
-    until: float
+    expires_at: float
 
 
 class Connections:
-    """Owns the idle connections to upstreams."""
+    """Pool of idle connections to upstreams.
+
+    Attributes:
+        opened: Number of connections opened so far.
+    """
 
     def __init__(self, now: typing.Callable[[], float]) -> None:
         self._now = now
@@ -121,12 +131,22 @@
         self.opened = 0
 
     def take(
-        self, instance: ids.InstanceId, address: str, fresh: bool
+        self, instance: ids.InstanceId, address: str, new_connection: bool
     ) -> urllib3.connection.HTTPConnection:
-        """Return a connected connection; raises `OSError` and the like."""
-        while not fresh and self._idle.get(instance):
+        """Return an idle connection, or a new one.
+
+        Args:
+            instance: The upstream.
+            address: Its host and port.
+            new_connection: Whether to open a new one in any case.
+
+        Raises:
+            OSError: The connection failed.
+            urllib3.exceptions.HTTPError: The same, found by urllib3.
+        """
+        while not new_connection and self._idle.get(instance):
             idle = self._idle[instance].pop()
-            if self._now() < idle.until and is_quiet(idle.connection):
+            if self._now() < idle.expires_at and is_quiet(idle.connection):
                 return idle.connection
             idle.connection.close()
         connection = open_connection(address, _CONNECT_TIMEOUT)
@@ -137,29 +157,35 @@
         self,
         instance: ids.InstanceId,
         connection: urllib3.connection.HTTPConnection,
-        keep: float,
+        keep_alive: float,
     ) -> None:
-        """Keep a connection whose answer was read to its end."""
-        held = self._idle.setdefault(instance, [])
-        if keep <= 0 or len(held) >= _IDLE_LIMIT:
+        """Return a connection to the pool.
+
+        Args:
+            instance: The upstream.
+            connection: A connection whose answer was read to its end.
+            keep_alive: Seconds for which it may be used.
+        """
+        connections = self._idle.setdefault(instance, [])
+        if keep_alive <= 0 or len(connections) >= _MAX_IDLE:
             connection.close()
             return
-        held.append(_Idle(connection, self._now() + keep))
+        connections.append(_Idle(connection, self._now() + keep_alive))
 
     def forget(self, present: typing.Container[ids.InstanceId]) -> None:
-        """Close what is idle to upstreams that are gone, or for long."""
+        """Close expired connections and those to upstreams that are gone."""
         now = self._now()
-        for instance, held in list(self._idle.items()):
-            kept = [
+        for instance, connections in list(self._idle.items()):
+            reusable = [
                 idle
-                for idle in held
-                if instance in present and now < idle.until
+                for idle in connections
+                if instance in present and now < idle.expires_at
             ]
-            for idle in held:
-                if idle not in kept:
+            for idle in connections:
+                if idle not in reusable:
                     idle.connection.close()
-            if kept:
-                self._idle[instance] = kept
+            if reusable:
+                self._idle[instance] = reusable
             else:
                 del self._idle[instance]
 
@@ -167,7 +193,12 @@
 def open_connection(
     address: str, timeout: float
 ) -> urllib3.connection.HTTPConnection:
-    """Return a new connection to an address."""
+    """Open a connection to an address.
+
+    Args:
+        address: Host and port.
+        timeout: Timeout of the connect in seconds.
+    """
     host, _, port = address.rpartition(":")
     connection = urllib3.connection.HTTPConnection(
         host,
@@ -184,7 +215,7 @@
 
 
 class Exchange:
-    """One request on its way to one upstream."""
+    """One request to one upstream, sent by a task of its own."""
 
     def __init__(
         self,
@@ -204,11 +235,11 @@
         self._connections = connections
         self._names = names
         self._connection: urllib3.connection.HTTPConnection | None = None
-        self._sent = False
+        self._may_have_sent = False
         self._task = eventlet.spawn(self._run)
 
     def cancel(self) -> None:
-        """Give up; the upstream sees its connection close."""
+        """Stop the task and close the connection to the upstream."""
         self._task.kill()
         self._close()
 
@@ -221,7 +252,7 @@
         step = "connect"
         try:
             self._connection = self._connections.take(
-                self._instance, self._address, self._outbound.fresh
+                self._instance, self._address, self._outbound.new_connection
             )
             step = "send"
             self._send()
@@ -240,7 +271,7 @@
         ) as error:
             self._close()
             detail = f"{type(error).__name__}: {error}"
-            self._put(Failed(self.number, self._sent, step, detail))
+            self._put(Failed(self.number, self._may_have_sent, step, detail))
         finally:
             # Also reached when the task is killed.
             self._close()
@@ -258,7 +289,7 @@
             headers["User-Agent"] = urllib3.util.SKIP_HEADER
         if "accept-encoding" not in headers:
             headers["Accept-Encoding"] = urllib3.util.SKIP_HEADER
-        self._sent = True
+        self._may_have_sent = True
         connection.request(
             self._outbound.method,
             self._outbound.target,
@@ -280,27 +311,28 @@
             self._put(Data(self.number, data))
 
     def _finish(self, response: urllib3.HTTPResponse) -> None:
-        """Keep the connection if it may carry another request."""
+        """Return the connection to the pool if it can be reused."""
         connection = self._connection
         if connection is None or connection.sock is None:
             return
-        framed = response.chunked or "content-length" in response.headers
-        if not framed:
+        is_delimited = response.chunked or "content-length" in response.headers
+        if not is_delimited:
             return
         if response.headers.get(self._names.attempt) != (
-            self._outbound.attempt
+            self._outbound.attempt_id
         ):
             return
         self._connection = None
-        keep = read_keep_alive(response.headers)
-        self._connections.give_back(self._instance, connection, keep)
+        keep_alive = read_keep_alive(response.headers)
+        self._connections.give_back(self._instance, connection, keep_alive)
 
 
 def is_quiet(connection: urllib3.connection.HTTPConnection) -> bool:
     """Return whether nothing has arrived on an idle connection.
 
-    Failure: an upstream sends a second answer late, or has closed the
-    connection; the next request on it would get that answer or be lost.
+    Failure: the upstream has sent a second answer or closed the connection
+    while it was idle. The next request on it would get that answer, or
+    would be lost.
     """
     if connection.sock is None or connection.sock.fileno() < 0:
         return False
@@ -309,11 +341,11 @@
 
 
 def read_keep_alive(headers: urllib3.HTTPHeaderDict) -> float:
-    """Return the seconds for which an idle connection may be used."""
+    """Return the seconds for which an idle connection may be reused."""
     if headers.get("connection", "").lower() == "close":
         return 0.0
-    for part in headers.get("keep-alive", "").split(","):
-        name, _, number = part.strip().partition("=")
-        if name.lower() == "timeout" and number.strip().isdecimal():
-            return float(number) - _IDLE_MARGIN
-    return _IDLE_DEFAULT
+    for parameter in headers.get("keep-alive", "").split(","):
+        name, _, seconds = parameter.strip().partition("=")
+        if name.lower() == "timeout" and seconds.strip().isdecimal():
+            return float(seconds) - _KEEP_ALIVE_MARGIN
+    return _DEFAULT_KEEP_ALIVE
--- a/currantwall/transport/queues.py
+++ b/currantwall/transport/queues.py
@@ -1,8 +1,8 @@
-"""Requests that wait for a place at a replica.
+"""Queue of requests that wait for a free slot at a replica.
 
-Who gets which place and who is turned away is decided in
-`coordination.requests.placing`. Here requests wait, each in the task that
-serves its caller, and are told by a message into their inbox.
+`coordination.requests.placing` decides which request gets which slot and
+which are rejected. Each request waits here in the task that serves its
+caller, and gets the result as a message in its inbox.
 """
 
 from collections import abc
@@ -23,20 +23,20 @@
 __all__ = ["Queue"]
 
 _WAITED = "currantwall.requests.waited"
-# Routes of which the longest time that callers wait is remembered.
-_ROUTES_LIMIT = 4096
+# Most routes whose longest caller timeout is remembered.
+_MAX_ROUTES = 4096
 
 
-class _Waiting:
-    """One request that waits, and the place it was given."""
+class _WaitingRequest:
+    """A queued request and the replica that it was assigned to."""
 
     def __init__(self, request: requests.Request) -> None:
         self.request = request
-        self.placed: upstreams.Upstream | None = None
+        self.assigned: upstreams.Upstream | None = None
 
 
 class Queue:
-    """Lets requests wait for places at the replicas of engines."""
+    """Queues requests for the slots of engine replicas."""
 
     def __init__(
         self,
@@ -45,86 +45,92 @@
         log: journal.Journal,
         now: abc.Callable[[], float],
     ) -> None:
-        # Told when a replica is nearly full, or none has room.
-        self.on_pressure: abc.Callable[[], None] = _ignore
+        # Called when a replica is nearly full or none has a free slot, so
+        # that the other gateways learn of this one's load.
+        self.on_high_load: abc.Callable[[], None] = _ignore
         self._balancer = balancer
         self._placer = placing.Placer(balancer)
         self._meter = meter
         self._log = log
         self._now = now
-        self._waiting: dict[backlog.Ticket, _Waiting] = {}
-        self._arrived = eventlet.event.Event()
-        # The longest time that callers of each route wait, in seconds.
-        self._budgets: dict[str, float] = {}
+        self._waiting: dict[backlog.Ticket, _WaitingRequest] = {}
+        self._nonempty = eventlet.event.Event()
+        # Longest timeout that a caller of each route has sent, in seconds.
+        self._longest_timeouts: dict[str, float] = {}
 
     # -- One request
 
-    def place(
+    def acquire_slot(
         self, request: requests.Request
     ) -> upstreams.Upstream | balancing.Unavailable:
-        """Return the replica for a request, once there is room.
+        """Return the replica for a request, once it has a free slot.
 
-        The place is counted as taken. Raises `requests.CallerLeft`.
+        The balancer counts the slot as taken.
+
+        Raises:
+            requests.CallerDisconnected: The caller closed its connection.
         """
         ticket = self._make_ticket(request)
         found = self._placer.try_place(ticket, self._now())
         if isinstance(found, placing.Placement):
             if self._placer.is_nearly_full(found.upstream):
-                self.on_pressure()
+                self.on_high_load()
             return found.upstream
         if not found.is_full:
             return found
-        self.on_pressure()
+        self.on_high_load()
         return self._wait(request, ticket)
 
     def is_late(self, request: requests.Request) -> bool:
-        """Return whether a request that starts now will not be in time."""
+        """Return whether a request that starts now would be late."""
         return self._placer.is_late(self._make_ticket(request), self._now())
 
     def note_first(self, request: requests.Request, seconds: float) -> None:
-        """Note the time from sending a request to its first event."""
+        """Record the seconds from sending a request to its first event."""
         if request.model is not None:
             self._placer.backlog.note_first(_make_kind(request), seconds)
 
     def _wait(
         self, request: requests.Request, ticket: backlog.Ticket
     ) -> upstreams.Upstream | balancing.Unavailable:
-        waiting = self._waiting[ticket] = _Waiting(request)
+        waiting = self._waiting[ticket] = _WaitingRequest(request)
         self._placer.add(ticket)
-        if not self._arrived.ready():
-            self._arrived.send(None)
-        self._turn_away(ticket.kind)
+        if not self._nonempty.ready():
+            self._nonempty.send(None)
+        self._notify_rejected(ticket.kind)
         try:
-            return self._await_place(waiting, ticket)
-        except requests.CallerLeft:
-            if waiting.placed is not None:
-                self._balancer.end(waiting.placed.id)
+            return self._await_slot(waiting, ticket)
+        except requests.CallerDisconnected:
+            if waiting.assigned is not None:
+                self._balancer.end(waiting.assigned.id)
             raise
         finally:
             self._placer.remove(ticket)
             self._waiting.pop(ticket, None)
 
-    def _await_place(
-        self, waiting: _Waiting, ticket: backlog.Ticket
+    def _await_slot(
+        self, waiting: _WaitingRequest, ticket: backlog.Ticket
     ) -> upstreams.Upstream | balancing.Unavailable:
         while True:
-            left = max(ticket.start_deadline - self._now(), 0.0)
+            remaining = max(ticket.start_deadline - self._now(), 0.0)
             try:
-                message = waiting.request.inbox.get(timeout=left)
+                message = waiting.request.inbox.get(timeout=remaining)
             except eventlet.queue.Empty:
-                if waiting.placed is not None:
-                    # It was given a place in this very moment.
+                if waiting.assigned is not None:
+                    # A slot was assigned just now: its message is next.
                     continue
-                hint = self._placer.estimate_retry_after(ticket, self._now())
-                return balancing.Unavailable("no place in time", hint)
+                retry_after = self._placer.estimate_retry_after(
+                    ticket, self._now()
+                )
+                return balancing.Unavailable("no place in time", retry_after)
             if isinstance(message, requests.Placed):
                 return message.upstream
-            if isinstance(message, requests.TurnedAway):
-                why = "the backlog is too long"
-                return balancing.Unavailable(why, message.retry_after)
-            if isinstance(message, requests.Left):
-                raise requests.CallerLeft
-            # Anything else is of an attempt that has ended.
+            if isinstance(message, requests.Rejected):
+                reason = "the backlog is too long"
+                return balancing.Unavailable(reason, message.retry_after)
+            if isinstance(message, requests.Disconnected):
+                raise requests.CallerDisconnected
+            # All other messages come from an attempt that has ended.
 
     # -- Tickets
 
@@ -133,72 +139,78 @@
         route = request.route
         kind = _make_kind(request)
         received = request.inbound.received
-        gives_up = received + attempts.get_caller_patience(route)
-        first = self._placer.backlog.estimate_first_event(kind)
-        objective = received - self._measure_before(request) + route.target
+        patience_end = received + attempts.get_caller_patience(route)
+        first_event = self._placer.backlog.estimate_first_event(kind)
+        objective = (
+            received - self._estimate_earlier_wait(request) + route.target
+        )
         return backlog.Ticket(
-            request=f"{request.attempt}{request.progress.sends}",
+            request=f"{request.attempt_id}{request.progress.sends}",
             kind=kind,
             engine=request.service.engine,
             gap=route.gap,
             arrived=self._now(),
-            objective=objective if route.target else gives_up,
-            start_deadline=min(gives_up, request.limit) - first,
-            rank=_rank(request),
+            objective=objective if route.target else patience_end,
+            start_deadline=min(patience_end, request.deadline) - first_event,
+            rank=_get_rank(request),
             excluded=request.tried,
         )
 
-    def _measure_before(self, request: requests.Request) -> float:
-        """Return the seconds a caller waited before this request.
+    def _estimate_earlier_wait(self, request: requests.Request) -> float:
+        """Return the seconds that a caller waited before this request.
 
-        One that was told to come back has less time left than callers of
-        its route have at first.
+        A caller that retries after a refusal sends a shorter timeout than
+        the callers of its route send at first.
         """
-        if request.budget is None:
+        if request.caller_timeout is None:
             return 0.0
         name = request.route.name
-        if len(self._budgets) > _ROUTES_LIMIT:
-            self._budgets.clear()
-        usual = max(self._budgets.get(name, 0.0), request.budget)
-        self._budgets[name] = usual
-        return usual - request.budget
+        if len(self._longest_timeouts) > _MAX_ROUTES:
+            self._longest_timeouts.clear()
+        longest = max(
+            self._longest_timeouts.get(name, 0.0), request.caller_timeout
+        )
+        self._longest_timeouts[name] = longest
+        return longest - request.caller_timeout
 
-    # -- Those that wait
+    # -- Waiting requests
 
     def note_end(self, upstream: upstreams.Upstream) -> None:
-        """Give the place of a request that has ended to the next one.
+        """Assign the slot of an ended request to a waiting one.
 
-        Failure: a replica that was full has a free place that only this
-        gateway knows of, and the others hold requests back from it.
+        Failure: only this gateway knows of the free slot of a replica that
+        was full, and the other gateways still send it no requests.
         """
         if self._placer.is_nearly_full(upstream):
-            self.on_pressure()
+            self.on_high_load()
         if self._waiting:
-            self._give(self._placer.replace_ended(self._now()))
+            self._notify_placed(self._placer.replace_ended(self._now()))
 
     def run(self) -> None:
-        """Look at free places and at the time, while requests wait."""
+        """Assign free slots and reject late requests, while any wait."""
         while True:
             if not self._waiting:
-                self._arrived = eventlet.event.Event()
-                self._arrived.wait()
+                self._nonempty = eventlet.event.Event()
+                self._nonempty.wait()
             eventlet.sleep(placing.TICK)
             for kind in self._placer.backlog.list_kinds():
-                self._turn_away(kind)
-                self._give(self._placer.fill(kind, self._now()))
+                self._notify_rejected(kind)
+                self._notify_placed(self._placer.fill(kind, self._now()))
 
-    def _give(self, placements: abc.Iterable[placing.Placement]) -> None:
-        """Tell requests of their places."""
+    def _notify_placed(
+        self, placements: abc.Iterable[placing.Placement]
+    ) -> None:
+        """Send requests the slots that they were assigned."""
         for placement in placements:
             ticket, upstream = placement.ticket, placement.upstream
             waiting = self._waiting.pop(ticket)
-            waiting.placed = upstream
+            waiting.assigned = upstream
             waiting.request.inbox.put(requests.Placed(upstream))
             waited = self._now() - ticket.arrived
             self._meter.observe(_WAITED, waited, ticket.kind.model)
             self._log.write(
                 "placed",
-                request=waiting.request.attempt,
+                request=waiting.request.attempt_id,
                 upstream=upstream.id,
                 waited=round(waited, 4),
                 in_time=placement.in_time,
@@ -208,14 +220,14 @@
                 load=self._balancer.count_load(upstream.id),
                 behind=self._placer.backlog.count(ticket.kind),
             )
-            self.on_pressure()
+            self.on_high_load()
 
-    def _turn_away(self, kind: backlog.Kind) -> None:
-        """Tell requests that they will get no place in time."""
+    def _notify_rejected(self, kind: backlog.Kind) -> None:
+        """Reject the requests that will get no slot in time."""
         for refusal in self._placer.turn_away(kind, self._now()):
             waiting = self._waiting.pop(refusal.ticket)
-            told = requests.TurnedAway(refusal.retry_after)
-            waiting.request.inbox.put(told)
+            message = requests.Rejected(refusal.retry_after)
+            waiting.request.inbox.put(message)
 
 
 def _ignore() -> None:
@@ -226,8 +238,8 @@
     return backlog.Kind(request.service.name, request.model or "")
 
 
-def _rank(request: requests.Request) -> int:
-    """Return a request's rank; its organisation's goes before its route's."""
+def _get_rank(request: requests.Request) -> int:
+    """Return the organisation's priority, or the route's if it has none."""
     organisation = request.organisation
     if organisation is not None and organisation.priority is not None:
         return organisation.priority
--- a/currantwall/transport/server.py
+++ b/currantwall/transport/server.py
@@ -1,8 +1,8 @@
-"""The HTTP server: routes that decorators register, on eventlet's WSGI.
+"""HTTP server on eventlet's WSGI server; decorators register the routes.
 
-eventlet's server gathers chunked output up to 4 KB before it writes, so
-streamed tokens would come in bursts; the minimum chunk size of 0 makes
-it write each piece at once.
+By default eventlet buffers chunked output up to 4 KB, so that streamed
+tokens would arrive in bursts. With a minimum chunk size of 0 it writes
+each piece at once.
 """
 
 from collections import abc
@@ -27,10 +27,13 @@
     "route",
 ]
 
-_MARK = "_route"
+_ROUTE_ATTRIBUTE = "_route"
+# Most connections served at the same time.
 _POOL_SIZE = 4096
-_URL_LIMIT = 8192
-_IDLE_SECONDS = 75
+# Bytes.
+_MAX_URL_SIZE = 8192
+# Socket timeout in seconds.
+_IDLE_TIMEOUT = 75
 Response = http_protocol.Response
 Handler = abc.Callable[..., Response]
 
@@ -39,15 +42,15 @@
     """One request of a caller or operator.
 
     Attributes:
-        words: What the groups of the route's pattern matched.
+        path_params: Named groups that the route's pattern matched.
         target: Path with its query, as signed.
-        client: The caller's socket, for whoever writes to it directly.
+        client: The caller's socket, for handlers that write to it directly.
     """
 
     method: str
     path: str
     target: str
-    words: dict[str, str]
+    path_params: dict[str, str]
     query: dict[str, str]
     headers: dict[str, str]
     body: bytes
@@ -62,34 +65,46 @@
 def route(method: str, pattern: str) -> abc.Callable[[Handler], Handler]:
     """Register a method for requests whose path matches a pattern."""
 
-    def mark(function: Handler) -> Handler:
-        setattr(function, _MARK, _Route(method, pattern))
+    def register(function: Handler) -> Handler:
+        setattr(function, _ROUTE_ATTRIBUTE, _Route(method, pattern))
         return function
 
-    return mark
+    return register
 
 
 class Handlers:
-    """Base of the objects that answer requests."""
+    """Base class of objects whose methods answer requests."""
 
-    def routes(self) -> abc.Iterator[tuple[str, re.Pattern[str], Handler]]:
-        """Yield method, pattern and handler of each marked method."""
+    def list_routes(
+        self,
+    ) -> abc.Iterator[tuple[str, re.Pattern[str], Handler]]:
+        """Yield method, pattern and handler of each registered route."""
         for name in dir(type(self)):
-            mark = getattr(getattr(type(self), name), _MARK, None)
-            if mark is not None:
+            registered = getattr(
+                getattr(type(self), name), _ROUTE_ATTRIBUTE, None
+            )
+            if registered is not None:
                 handler = getattr(self, name)
-                yield mark.method, re.compile(mark.pattern), handler
+                yield (
+                    registered.method,
+                    re.compile(registered.pattern),
+                    handler,
+                )
 
 
 class _QuietProtocol(eventlet.wsgi.HttpProtocol):
-    """Does not write a line for every malformed request."""
+    """Suppresses the log lines of malformed requests."""
 
     def log_message(self, format: str, *args: object) -> None:  # noqa: A002
         """Write nothing."""
 
 
 class Server:
-    """Owns the listening socket."""
+    """Listens at an address and dispatches requests to handlers.
+
+    Attributes:
+        in_flight: Number of requests whose answer is not completely sent.
+    """
 
     def __init__(
         self,
@@ -97,19 +112,20 @@
         handlers: abc.Sequence[Handlers],
         body_limit: int,
     ) -> None:
-        self._routes = [one for each in handlers for one in each.routes()]
+        self._routes = [
+            entry for group in handlers for entry in group.list_routes()
+        ]
         self._body_limit = body_limit
         self._socket = eventlet.listen(address, reuse_port=False)
-        # Taken over by accepted connections: the first token of a stream
+        # Accepted connections inherit this: the first token of a stream
         # must not wait for the acknowledgement of the headers.
         self._socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._pool = eventlet.GreenPool(_POOL_SIZE)
         self._closing = False
-        # Requests whose answer is not wholly sent yet.
         self.in_flight = 0
 
     def run(self) -> None:
-        """Serve until the socket is closed or the task is killed."""
+        """Serve requests until the socket closes or the task is killed."""
         eventlet.wsgi.server(
             self._socket,
             self._serve,
@@ -117,13 +133,13 @@
             protocol=_QuietProtocol,
             log_output=False,
             debug=False,
-            url_length_limit=_URL_LIMIT,
-            socket_timeout=_IDLE_SECONDS,
+            url_length_limit=_MAX_URL_SIZE,
+            socket_timeout=_IDLE_TIMEOUT,
             minimum_chunk_size=0,
         )
 
     def begin_close(self) -> None:
-        """Ask callers to close their connections after each answer."""
+        """Send `Connection: close` with each further answer."""
         self._closing = True
 
     def _serve(
@@ -171,7 +187,7 @@
         return http_protocol.fail(status, "no_such_path", f"no {path}")
 
     def _read_body(self, environ: dict[str, typing.Any]) -> bytes | Response:
-        """Return the whole body, or why it is not taken."""
+        """Return the whole body, or an error response."""
         length = environ.get("CONTENT_LENGTH") or "0"
         if not length.isdecimal():
             status = http.HTTPStatus.BAD_REQUEST
@@ -202,10 +218,10 @@
 
 
 class _Body:
-    """A response body that says when it is done with.
+    """A response body that counts its request until it is closed.
 
-    The WSGI server calls `close` after the last byte is written, and
-    also when the caller has gone.
+    The WSGI server calls `close` after the last byte is written, and also
+    when the caller has disconnected.
     """
 
     def __init__(
@@ -221,16 +237,16 @@
         return self._body
 
     def close(self) -> None:
-        """Close what yields the body and count the request out."""
+        """Close the body's iterator and stop counting the request."""
         if not self._open:
             return
         self._open = False
         self._owner.in_flight -= 1
         if not isinstance(self._body, bytes):
-            getattr(self._body, "close", _do_nothing)()
+            getattr(self._body, "close", _ignore)()
 
 
-def _do_nothing() -> None:
+def _ignore() -> None:
     return
 
 
@@ -252,7 +268,7 @@
         method=environ["REQUEST_METHOD"],
         path=path,
         target=f"{path}?{query}" if query else path,
-        words=match.groupdict(),
+        path_params=match.groupdict(),
         query=dict(urllib.parse.parse_qsl(query)),
         headers=headers,
         body=body,
@@ -268,5 +284,5 @@
 
 
 def mark_handled() -> None:
-    """Tell the server that the answer was written past it."""
+    """Tell the WSGI server that the answer was written to the socket."""
     eventlet.wsgi.WSGI_LOCAL.already_handled = True
--- a/currantwall/transport/splice.py
+++ b/currantwall/transport/splice.py
@@ -1,13 +1,13 @@
-"""Passing streamed bytes between two sockets without looking into them.
+"""Forwards streamed bytes between two sockets without parsing them.
 
-Once headers and the first chunk of a stream are out, the rest is the
-same bytes on both sides: chunk frames of the upstream, passed on as they
-are. One task with a poller of its own does this for all streams of the
-process; going through a green thread and the WSGI server for each token
-costs several times as much (docs/design/requests.md has the figures).
+After the headers and the first chunk of a stream, both sides carry the
+same bytes: the upstream's chunks are forwarded as they are. One task with
+its own poller does this for all streams of the process. Using a green
+thread and the WSGI server for each token costs several times as much
+(docs/design/requests.md has the figures).
 
-Only the last bytes are kept, to find the end of the stream and whether
-it was whole.
+Only the last bytes of a stream are kept, to detect its end and whether it
+is complete.
 """
 
 import socket
@@ -30,19 +30,29 @@
 _EPOLLHUP = _select.EPOLLHUP
 _EPOLLRDHUP = _select.EPOLLRDHUP
 
-_RECEIVE = 65_536
-_END = b"\r\n0\r\n\r\n"
-_END_MARK = b"data: [DONE]"
-# Where an own chunk may follow: after a whole event in a whole chunk.
-_BOUNDARY = b"\n\n\r\n"
-_TAIL = 64
-_SWEEP_SECONDS = 1.0
-# Ready sockets served in one go before other tasks get a turn.
-_BURST = 256
+_RECEIVE_SIZE = 65_536
+_LAST_CHUNK = b"\r\n0\r\n\r\n"
+_DONE_EVENT = b"data: [DONE]"
+# End of a chunk that ends with a complete event: a chunk of this process
+# may follow.
+_EVENT_BOUNDARY = b"\n\n\r\n"
+# Bytes of a stream's end that are kept.
+_TAIL_SIZE = 64
+# Seconds between two checks for idle streams.
+_SWEEP_INTERVAL = 1.0
+# Most ready sockets served before other tasks run.
+_MAX_READY = 256
 
 
 class _Stream:
-    """One stream on its way."""
+    """One stream that is being forwarded.
+
+    Attributes:
+        tail: Its last bytes.
+        pending: Bytes that the caller's socket did not accept yet.
+        last_received: Monotonic time of the upstream's last bytes.
+        done: Sent the failure of the stream, or None, when it ends.
+    """
 
     def __init__(
         self,
@@ -56,47 +66,51 @@
         self.tail = tail
         self.peer = peer
         self.pending = b""
-        self.last = time.monotonic()
+        self.last_received = time.monotonic()
         self.done = eventlet.event.Event()
         self.finished = False
 
     @property
     def is_whole(self) -> bool:
-        """Return whether the stream ended with its marks."""
-        return self.tail.endswith(_END) and _END_MARK in self.tail
+        """Return whether the stream has its last event and last chunk."""
+        return self.tail.endswith(_LAST_CHUNK) and _DONE_EVENT in self.tail
 
 
 class Splicer:
-    """Owns the poller and the streams under way."""
+    """Forwards all streams of a process.
+
+    Attributes:
+        chunks: Number of blocks of bytes forwarded so far.
+    """
 
     def __init__(self, idle_timeout: float) -> None:
         self._idle = idle_timeout
-        # The patched module has no poller; this one never blocks.
+        # eventlet's patched module has no epoll; this one never blocks.
         self._poller = _select.epoll()
         self._streams: dict[int, _Stream] = {}
         self._running = False
         self.chunks = 0
 
     def run(self) -> None:
-        """Serve all streams for ever."""
+        """Forward all streams; does not return."""
         self._running = True
-        next_sweep = time.monotonic() + _SWEEP_SECONDS
+        next_sweep = time.monotonic() + _SWEEP_INTERVAL
         descriptor = self._poller.fileno()
         while self._running:
             self._wait(descriptor)
-            for ready, flags in self._poller.poll(0, _BURST):
+            for ready, flags in self._poller.poll(0, _MAX_READY):
                 self._serve(ready, flags)
             eventlet.sleep(0)
             now = time.monotonic()
             if now >= next_sweep:
-                next_sweep = now + _SWEEP_SECONDS
+                next_sweep = now + _SWEEP_INTERVAL
                 self._sweep(now)
 
     @staticmethod
     def _wait(descriptor: int) -> None:
         try:
             eventlet.hubs.trampoline(
-                descriptor, read=True, timeout=_SWEEP_SECONDS
+                descriptor, read=True, timeout=_SWEEP_INTERVAL
             )
         except eventlet.Timeout:
             return
@@ -108,51 +122,54 @@
         first: bytes,
         peer: str,
     ) -> errors.CallError | None:
-        """Pass a stream on until its end; return how it failed.
+        """Forward a stream until it ends.
 
         Args:
-            upstream: Where the rest of the stream comes from.
-            caller: Where it goes.
-            first: Bytes of the stream that are read already and passed
-                on from here; they begin a chunk.
+            upstream: Socket to read the rest of the stream from.
+            caller: Socket to write it to.
+            first: Bytes that were read already but not forwarded; they
+                begin a chunk.
             peer: Name of the upstream, for errors.
+
+        Returns:
+            How the stream failed, None if it is complete.
         """
         stream = _Stream(upstream, caller, b"", peer)
-        if not self._pass_on(stream, first):
-            return _fail(peer, errors.Failure.CLOSED, "the caller left")
-        if stream.tail.endswith(_END):
-            return self._judge(stream)
+        if not self._forward(stream, first):
+            return _make_error(peer, errors.Failure.CLOSED, "the caller left")
+        if stream.tail.endswith(_LAST_CHUNK):
+            return self._check_end(stream)
         self._streams[upstream.fileno()] = stream
         self._streams[caller.fileno()] = stream
         try:
-            self._watch(stream)
+            self._update_interest(stream)
             failure = stream.done.wait()
         finally:
-            self._forget(stream)
+            self._unregister(stream)
         return typing.cast("errors.CallError | None", failure)
 
     # -- The poller
 
-    def _watch(self, stream: _Stream) -> None:
-        """Wait for the upstream, or for the caller to take what is held.
+    def _update_interest(self, stream: _Stream) -> None:
+        """Register the events that a stream waits for.
 
-        While the caller does not take it, the upstream is not read, so a
-        slow caller holds back its own stream and no memory grows.
+        The upstream is not read while bytes for the caller are pending, so
+        a slow caller delays only its own stream and memory use is bounded.
         """
         if stream.pending:
-            self._set(stream.caller, _EPOLLOUT)
-            self._set(stream.upstream, 0)
+            self._set_flags(stream.caller, _EPOLLOUT)
+            self._set_flags(stream.upstream, 0)
         else:
-            self._set(stream.caller, _EPOLLRDHUP)
-            self._set(stream.upstream, _EPOLLIN | _EPOLLRDHUP)
+            self._set_flags(stream.caller, _EPOLLRDHUP)
+            self._set_flags(stream.upstream, _EPOLLIN | _EPOLLRDHUP)
 
-    def _set(self, sock: socket.socket, flags: int) -> None:
+    def _set_flags(self, sock: socket.socket, flags: int) -> None:
         try:
             self._poller.modify(sock.fileno(), flags)
         except FileNotFoundError:
             self._poller.register(sock.fileno(), flags)
 
-    def _forget(self, stream: _Stream) -> None:
+    def _unregister(self, stream: _Stream) -> None:
         stream.finished = True
         for sock in (stream.upstream, stream.caller):
             self._streams.pop(sock.fileno(), None)
@@ -172,42 +189,57 @@
 
     def _serve_caller(self, stream: _Stream, flags: int) -> None:
         if flags & (_EPOLLHUP | _EPOLLERR | _EPOLLRDHUP):
-            left = errors.Failure.CLOSED
-            self._end(stream, _fail(stream.peer, left, "the caller left"))
+            closed = errors.Failure.CLOSED
+            self._end(
+                stream, _make_error(stream.peer, closed, "the caller left")
+            )
             return
-        held, stream.pending = stream.pending, b""
-        if not self._pass_on(stream, held, again=True):
-            left = errors.Failure.CLOSED
-            self._end(stream, _fail(stream.peer, left, "the caller left"))
+        data, stream.pending = stream.pending, b""
+        if not self._forward(stream, data, is_retry=True):
+            closed = errors.Failure.CLOSED
+            self._end(
+                stream, _make_error(stream.peer, closed, "the caller left")
+            )
         elif not stream.pending:
-            self._watch(stream)
-            self._end_if_over(stream)
+            self._update_interest(stream)
+            self._end_if_complete(stream)
 
     def _serve_upstream(self, stream: _Stream) -> None:
         try:
-            data = stream.upstream.recv(_RECEIVE)
+            data = stream.upstream.recv(_RECEIVE_SIZE)
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
             data = b""
         if not data:
-            self._end(stream, self._cut(stream))
+            self._end(stream, self._make_cut_error(stream))
             return
-        if not self._pass_on(stream, data):
-            left = errors.Failure.CLOSED
-            self._end(stream, _fail(stream.peer, left, "the caller left"))
+        if not self._forward(stream, data):
+            closed = errors.Failure.CLOSED
+            self._end(
+                stream, _make_error(stream.peer, closed, "the caller left")
+            )
         elif stream.pending:
-            self._watch(stream)
+            self._update_interest(stream)
         else:
-            self._end_if_over(stream)
+            self._end_if_complete(stream)
 
-    def _pass_on(
-        self, stream: _Stream, data: bytes, again: bool = False
+    def _forward(
+        self, stream: _Stream, data: bytes, is_retry: bool = False
     ) -> bool:
-        """Send what the caller takes now; return whether it is there."""
-        if not again:
-            stream.tail = (stream.tail + data)[-_TAIL:]
-            stream.last = time.monotonic()
+        """Send bytes to the caller without blocking.
+
+        Args:
+            stream: The stream.
+            data: The bytes; those not accepted become pending.
+            is_retry: Whether they were pending before.
+
+        Returns:
+            Whether the caller is still connected.
+        """
+        if not is_retry:
+            stream.tail = (stream.tail + data)[-_TAIL_SIZE:]
+            stream.last_received = time.monotonic()
             self.chunks += 1
         try:
             sent = stream.caller.send(data) if data else 0
@@ -221,23 +253,25 @@
 
     # -- Ends
 
-    def _end_if_over(self, stream: _Stream) -> None:
-        if stream.tail.endswith(_END):
-            self._end(stream, self._judge(stream))
+    def _end_if_complete(self, stream: _Stream) -> None:
+        if stream.tail.endswith(_LAST_CHUNK):
+            self._end(stream, self._check_end(stream))
 
     @staticmethod
-    def _judge(stream: _Stream) -> errors.CallError | None:
-        """Return what is wrong with a stream that ended by itself."""
+    def _check_end(stream: _Stream) -> errors.CallError | None:
+        """Return the failure of a stream that has sent its last chunk."""
         if stream.is_whole:
             return None
-        return _fail(stream.peer, errors.Failure.TRUNCATED, "no end mark")
+        return _make_error(
+            stream.peer, errors.Failure.TRUNCATED, "no end mark"
+        )
 
     @staticmethod
-    def _cut(stream: _Stream) -> errors.CallError:
-        """Return the failure of a stream whose upstream is gone."""
-        at_boundary = stream.tail.endswith(_BOUNDARY)
+    def _make_cut_error(stream: _Stream) -> errors.CallError:
+        """Return the failure of a stream whose upstream disconnected."""
+        at_boundary = stream.tail.endswith(_EVENT_BOUNDARY)
         detail = "at a boundary" if at_boundary else "inside a chunk"
-        return _fail(stream.peer, errors.Failure.TRUNCATED, detail)
+        return _make_error(stream.peer, errors.Failure.TRUNCATED, detail)
 
     @staticmethod
     def _end(stream: _Stream, failure: errors.CallError | None) -> None:
@@ -246,17 +280,19 @@
             stream.done.send(failure)
 
     def _sweep(self, now: float) -> None:
-        """End the streams that stand still."""
+        """End the streams that were idle for too long."""
         for stream in set(self._streams.values()):
-            if now - stream.last > self._idle:
+            if now - stream.last_received > self._idle:
                 stalled = errors.Failure.TIMEOUT
-                self._end(stream, _fail(stream.peer, stalled, "idle"))
+                self._end(stream, _make_error(stream.peer, stalled, "idle"))
 
 
-def _fail(peer: str, failure: errors.Failure, detail: str) -> errors.CallError:
+def _make_error(
+    peer: str, failure: errors.Failure, detail: str
+) -> errors.CallError:
     return errors.CallError(errors.Step.BODY, peer, failure, detail)
 
 
 def ends_at_boundary(failure: errors.CallError) -> bool:
-    """Return whether an event of our own may still be appended."""
+    """Return whether an error event may follow a truncated stream."""
     return failure.detail == "at a boundary"
--- a/currantwall/transport/upstreams.py
+++ b/currantwall/transport/upstreams.py
@@ -21,12 +21,16 @@
 
 __all__ = ["Call", "Stream", "Upstreams"]
 
-_POOL_SIZE = 64
-_POOLS = 4096
-_REPORT_LIMIT = 65_536
-_ANSWER_LIMIT = 16_777_216
-_CHUNK = 65_536
-# Headers that speak of one connection and are not passed on.
+# Most connections kept for each upstream.
+_MAX_CONNECTIONS = 64
+# Most upstreams to which connections are kept.
+_MAX_POOLS = 4096
+# Sizes in bytes.
+_MAX_REPORT_SIZE = 65_536
+_MAX_ANSWER_SIZE = 16_777_216
+_READ_SIZE = 65_536
+# Headers of an answer that apply to a single connection or server and are
+# not forwarded.
 _HOP_HEADERS = frozenset(
     (
         "connection",
@@ -51,8 +55,8 @@
     """One request to an upstream.
 
     Attributes:
-        fresh: Whether to use a connection of its own, so that a failed
-            connect proves that no byte of the request left.
+        new_connection: Whether to use a new connection, so that a failed
+            connect proves that no byte of the request was sent.
     """
 
     address: str
@@ -62,24 +66,28 @@
     method: str = "POST"
     timeout: float = 30.0
     connect_timeout: float = 0.5
-    fresh: bool = False
+    new_connection: bool = False
 
 
 class Stream:
-    """An answer whose body is still coming."""
+    """An answer whose body is still arriving."""
 
     def __init__(self, peer: str, response: urllib3.BaseHTTPResponse) -> None:
         self._peer = peer
         self._response = response
         self.status = response.status
-        self.headers = _keep_headers(response)
+        self.headers = _drop_hop_headers(response)
 
     def read_chunks(self) -> abc.Iterator[bytes]:
-        """Yield the body as it comes; raises `StreamCut` when cut."""
+        """Yield the body as it arrives.
+
+        Raises:
+            StreamCut: The connection failed before the end of the body.
+        """
         try:
-            yield from self._response.stream(_CHUNK, decode_content=False)
+            yield from self._response.stream(_READ_SIZE, decode_content=False)
         except (urllib3.exceptions.HTTPError, OSError) as error:
-            raise StreamCut(_explain(error, self._peer)) from error
+            raise StreamCut(_make_call_error(error, self._peer)) from error
         finally:
             self.close()
 
@@ -89,28 +97,28 @@
         return bool(getattr(self._response, "chunked", False))
 
     def detach(self) -> tuple[socket.socket, bytes]:
-        """Return the socket and the bytes that were read ahead.
+        """Return the socket and the bytes that were already buffered.
 
-        To be called between two chunks; the next byte begins a chunk.
-        Waits for more bytes when none were read ahead. urllib3 and
-        http.client have no public way to this, so their versions are
-        pinned and a test goes through here.
+        Must be called between two chunks; the next byte begins a chunk.
+        Waits for more bytes if none are buffered. urllib3 and http.client
+        have no public interface for this, so their versions are pinned and
+        a test covers it.
         """
         raw = self._response._fp  # noqa: SLF001
         connection = self._response._connection  # noqa: SLF001
-        ahead = raw.fp.read1(_CHUNK)
+        buffered = raw.fp.read1(_READ_SIZE)
         green = connection.sock
-        return getattr(green, "fd", green), ahead
+        return getattr(green, "fd", green), buffered
 
     def close(self) -> None:
-        """Close the connection unless the body was read to its end."""
+        """Release the connection; close it if the body was not read whole."""
         if not self._response.isclosed():
             self._response.close()
         self._response.release_conn()
 
 
 class StreamCut(Exception):  # noqa: N818
-    """A body ended before its end."""
+    """A connection failed before the end of the body."""
 
     def __init__(self, error: errors.CallError) -> None:
         super().__init__(str(error))
@@ -118,7 +126,7 @@
 
 
 class Upstreams:
-    """Owns the connections to upstream instances."""
+    """Sends probes, orders and requests to upstream instances."""
 
     def __init__(
         self,
@@ -130,29 +138,33 @@
         self._clock = clock
         self._tell = tell
         self._pool = urllib3.PoolManager(
-            num_pools=_POOLS, maxsize=_POOL_SIZE, retries=False, block=False
+            num_pools=_MAX_POOLS,
+            maxsize=_MAX_CONNECTIONS,
+            retries=False,
+            block=False,
         )
-        # Probes keep connections of their own: they must not wait behind
-        # requests, and a broken one must not be blamed on the instance.
+        # Probes and orders have connections of their own, so that they
+        # don't wait for requests, and so that a broken connection of a
+        # request does not count against the instance.
         self._probe_pool = urllib3.PoolManager(
-            num_pools=_POOLS, maxsize=2, retries=False, block=False
+            num_pools=_MAX_POOLS, maxsize=2, retries=False, block=False
         )
 
     # -- Actions
 
     @coordinator.performs(actions.Probe)
     def probe(self, action: actions.Probe) -> None:
-        """Ask an instance for its report."""
+        """Request the report of an instance."""
         eventlet.spawn_n(self._probe, action)
 
     @coordinator.performs(actions.SendOrder)
     def send_order(self, action: actions.SendOrder) -> None:
-        """Send an order before its deadline, or not at all."""
+        """Send an order, unless its lifetime would exceed the deadline."""
         eventlet.spawn_n(self._send_order, action)
 
     def _probe(self, action: actions.Probe) -> None:
         with eventlet.Timeout(action.timeout, False):
-            outcome, report = self._ask_report(action)
+            outcome, report = self._fetch_report(action)
             self._tell(
                 messages.ProbeAnswered(action.instance, outcome, report)
             )
@@ -160,7 +172,7 @@
         outcome = messages.ProbeOutcome.TIMEOUT
         self._tell(messages.ProbeAnswered(action.instance, outcome))
 
-    def _ask_report(
+    def _fetch_report(
         self, action: actions.Probe
     ) -> tuple[messages.ProbeOutcome, instances.Report | None]:
         outcomes = messages.ProbeOutcome
@@ -180,7 +192,7 @@
         ):
             return outcomes.TIMEOUT, None
         if report.instance != action.instance:
-            # Another instance has the address now: ours is gone.
+            # Another instance has the address now: the probed one is gone.
             return outcomes.REFUSED, None
         return outcomes.ANSWERED, report
 
@@ -211,12 +223,12 @@
     # -- Requests
 
     def open(self, call: Call) -> result.Result[Stream, errors.CallError]:
-        """Send a request and return its answer once the headers are in."""
+        """Send a request; return its answer when the headers arrived."""
         url = f"http://{call.address}{call.path}"
         timeout = urllib3.Timeout(
             connect=call.connect_timeout, read=call.timeout
         )
-        pool = self._make_pool() if call.fresh else self._pool
+        pool = self._make_pool() if call.new_connection else self._pool
         try:
             response = pool.request(
                 call.method,
@@ -228,7 +240,7 @@
                 redirect=False,
             )
         except (urllib3.exceptions.HTTPError, OSError) as error:
-            return result.Err(_explain(error, call.address))
+            return result.Err(_make_call_error(error, call.address))
         return result.Ok(Stream(call.address, response))
 
     def fetch(
@@ -245,7 +257,7 @@
             for chunk in stream.read_chunks():
                 parts.append(chunk)
                 size += len(chunk)
-                if size > _ANSWER_LIMIT:
+                if size > _MAX_ANSWER_SIZE:
                     return result.Err(
                         errors.CallError(
                             errors.Step.BODY,
@@ -265,7 +277,7 @@
         return urllib3.PoolManager(num_pools=1, maxsize=1, retries=False)
 
 
-def _keep_headers(response: urllib3.BaseHTTPResponse) -> Headers:
+def _drop_hop_headers(response: urllib3.BaseHTTPResponse) -> Headers:
     return tuple(
         (name, value)
         for name, value in response.headers.items()
@@ -273,17 +285,21 @@
     )
 
 
-def _explain(error: Exception, peer: str) -> errors.CallError:
-    """Return the typed form of an error of urllib3 or a socket."""
-    kinds = urllib3.exceptions
+def _make_call_error(error: Exception, peer: str) -> errors.CallError:
+    """Return the `CallError` for an error of urllib3 or of a socket."""
+    exceptions = urllib3.exceptions
     detail = str(error)
-    if isinstance(error, kinds.NewConnectionError | kinds.NameResolutionError):
+    if isinstance(
+        error, exceptions.NewConnectionError | exceptions.NameResolutionError
+    ):
         step, failure = errors.Step.CONNECT, errors.Failure.REFUSED
-    elif isinstance(error, kinds.ConnectTimeoutError):
+    elif isinstance(error, exceptions.ConnectTimeoutError):
         step, failure = errors.Step.CONNECT, errors.Failure.TIMEOUT
-    elif isinstance(error, kinds.ReadTimeoutError):
+    elif isinstance(error, exceptions.ReadTimeoutError):
         step, failure = errors.Step.BODY, errors.Failure.TIMEOUT
-    elif isinstance(error, kinds.IncompleteRead | kinds.InvalidChunkLength):
+    elif isinstance(
+        error, exceptions.IncompleteRead | exceptions.InvalidChunkLength
+    ):
         step, failure = errors.Step.BODY, errors.Failure.TRUNCATED
     else:
         step, failure = errors.Step.HEADERS, errors.Failure.CLOSED
