--- a/currantwall/transport/sending.py
+++ b/currantwall/transport/sending.py
@@ -100,8 +100,8 @@
         self._exchange_numbers = itertools.count(1)
         # Monotonic time at which each upstream last sent anything here.
         self._last_message_times: dict[ids.InstanceId, float] = {}
-        # Inboxes of the attempts in progress, by `Upstream.epoch_id` and by the
-        # number of the exchange.
+        # Inboxes of the attempts in progress, by `Upstream.epoch_id` and by
+        # the number of the exchange.
         self._active: dict[str, dict[int, eventlet.queue.LightQueue]] = {}
 
     def note_request(self, request: requests.Request) -> None:
@@ -222,7 +222,7 @@
         """Record that an attempt succeeded."""
         self._balancer.note_success(current.upstream.id)
 
-    def abort_attempts(self, life: str) -> None:
+    def abort_attempts(self, epoch_id: str) -> None:
         """Fail all attempts at a leader whose replica has lost a member.
 
         Failure: such a leader stalls silently for seconds. Its requests
