--- a/currantwall/transport/duties.py
+++ b/currantwall/transport/duties.py
@@ -1,8 +1,8 @@
-"""The duty for fabric domains: probes and orders.
+"""Control loop for fabric domains: probes instances and sends orders.
 
-For each domain the node that holds its lease (`domainleases`) probes the
-instances, has replicas planned (`formation`) and gives the orders. While
-nobody can hold the lease one node goes on with the probes alone.
+For each domain, the node that holds its lease (`domainleases`) probes the
+instances, plans the replicas (`formation`) and sends the orders. While no
+node can hold the lease, one node goes on probing but sends no orders.
 """
 
 import collections
@@ -28,32 +28,37 @@
 
 __all__ = ["Duties"]
 
-# Seconds between two rounds of a node that probes a domain, and of one
-# that doesn't.
-_TICK = 0.1
-_IDLE_TICK = 0.25
-# Seconds between two probes of one instance while something changes
-# there; its report is 0.2 s old itself.
+# Seconds between two rounds of the control loop: on a node that probes a
+# domain, and on one that probes none.
+_TICK_INTERVAL = 0.1
+_IDLE_TICK_INTERVAL = 0.25
+# Seconds between two probes of one instance while its state changes. The
+# report itself may be 0.2 s old.
 _PROBE_INTERVAL = 0.2
-# The same of an instance that has left several unanswered: a domain that
-# went dark comes back after seconds, and each miss is paid for.
-_SILENT_INTERVAL = 0.5
-# The same where no order can be given: only losses are looked for.
-_PROBER_INTERVAL = 1.0
-# The same of an instance that is slow, until it no longer is.
-_SLOW_INTERVAL = 1.0
-# Factor by which an instance is slower than usual above which its replica
-# is better passed over.
+# Seconds between two probes of an instance that left several probes
+# unanswered. An unreachable domain takes seconds to come back, and each
+# unanswered probe is paid for.
+_SILENT_PROBE_INTERVAL = 0.5
+# Seconds between two probes of one instance while nobody can hold the
+# lease: without orders, the probes only detect losses.
+_UNLEASED_PROBE_INTERVAL = 1.0
+# Seconds between two probes of a slow instance, until it has recovered.
+_SLOW_PROBE_INTERVAL = 1.0
+# An instance counts as slow if it is slower than usual by this factor;
+# its replica is then avoided.
 _SLOW_PACE = 3.0
-# Seconds between two probes of instances of replicas that are whole and
-# open: their loss shows in the store's list, and sooner in the requests.
-_STEADY_INTERVAL = 4.0
-# Seconds without a new instance after which the list counts as whole.
-_SETTLED = 1.2
-# Seconds between two looks at what the domains are meant for.
-_DEAL_INTERVAL = 1.0
-# Fencing numbers of one lease revision: more than the joins it may give.
-_EPOCHS = 1000
+# Seconds between two probes of an instance whose replica is complete and
+# open. Its loss also shows in the store's list, and in failing requests
+# even sooner.
+_STEADY_PROBE_INTERVAL = 4.0
+# The list of instances counts as complete after this many seconds without
+# a new instance.
+_SETTLE_TIME = 1.2
+# Shortest time in seconds between two assignments of models to domains.
+_ASSIGN_INTERVAL = 1.0
+# Replica epochs reserved for each fencing number: more than the joins that
+# one holder orders under it.
+_EPOCHS_PER_FENCE = 1000
 
 
 class _Domain:
@@ -71,21 +76,32 @@
         self.lease = lease
         self.planner = planner
         self.layout = layout_module.Layout("")
-        # Fencing number of the tenure that the planner's knowledge is of.
+        # Fencing number of the lease under which the planner's knowledge
+        # was gathered.
         self.fence = 0
         # Whether this node probes the instances.
         self.is_probed = False
+        # Limits the rate at which weights are loaded.
         self.loads = staging.LoadBucket()
-        self.probed: dict[ids.InstanceId, float] = {}
-        self.probing: set[ids.InstanceId] = set()
-        # Instances that were slow when last asked.
+        # When each instance was last probed.
+        self.probed_at: dict[ids.InstanceId, float] = {}
+        self.probes_in_flight: set[ids.InstanceId] = set()
+        # Instances that were slow at their last report.
         self.slow: set[ids.InstanceId] = set()
-        # As last written to the log.
+        # The planner's state as last logged.
         self.state: dict[str, str] = {}
 
 
 class Duties:
-    """Takes and carries out the duty for domains."""
+    """Probes the domains and, where this node holds the lease, sends orders.
+
+    Attributes:
+        on_loss: Called with the leader's epoch ID when its replica has
+            lost a member.
+        on_slow: Called with the leader's epoch ID when a member slows down
+            its replica.
+        services: Returns the configured services.
+    """
 
     def __init__(
         self,
@@ -106,135 +122,148 @@
         self._clock = clock
         self._domains: dict[ids.DomainName, _Domain] = {}
         self._sizes: dict[ids.DomainName, int] = {}
-        # The list and the services that the domains were last dealt out by.
-        self._dealt: tuple[int, tuple[routes.Service, ...]] | None = None
-        self._next_deal = 0.0
+        # Generation of the fleet, and the services, of the last assignment
+        # of models to domains.
+        self._assigned_from: tuple[int, tuple[routes.Service, ...]] | None = (
+            None
+        )
+        self._next_assignment = 0.0
         self._supply = supply.Supply(fleet)
-        self._largest = 0
+        self._largest_count = 0
         self._grown_at = self._clock.now()
         self._stopping = False
-        # Told of a leader whose replica has lost a member, by its life.
         self.on_loss: abc.Callable[[str], None] = _ignore
-        # Told of a leader whose replica a member slows down, by its life.
         self.on_slow: abc.Callable[[str], None] = _ignore
         self.services: abc.Callable[[], abc.Iterable[routes.Service]] = tuple
 
     # -- The loop
 
     def run(self) -> None:
-        """Look after the domains for ever."""
+        """Run the control loop until `stop` is called."""
         while not self._stopping:
             self.tick(self._clock.now())
-            probes = any(one.is_probed for one in self._domains.values())
-            eventlet.sleep(_TICK if probes else _IDLE_TICK)
+            probes = any(domain.is_probed for domain in self._domains.values())
+            eventlet.sleep(_TICK_INTERVAL if probes else _IDLE_TICK_INTERVAL)
 
     def tick(self, now: float) -> None:
-        """Do what is due for each domain."""
-        self._find_domains(now)
+        """Run one round: renew leases, probe instances and send orders.
+
+        Args:
+            now: Monotonic time in seconds.
+        """
+        self._update_domains(now)
         self._leases.look(now)
-        for one in self._domains.values():
-            if self._leases.tick(one.lease, now):
-                one.is_probed = True
-                self._begin(one)
-                self._work(one, now)
+        for domain in self._domains.values():
+            if self._leases.tick(domain.lease, now):
+                domain.is_probed = True
+                self._start_tenure(domain)
+                self._manage(domain, now)
                 continue
-            is_prober = self._leases.is_prober(one.lease, now)
-            if is_prober and not one.is_probed:
-                self._forget(one)
-            if is_prober != one.is_probed:
+            is_prober = self._leases.is_prober(domain.lease, now)
+            if is_prober and not domain.is_probed:
+                self._reset_knowledge(domain)
+            if is_prober != domain.is_probed:
                 self._log.write(
                     "probes_without_lease" if is_prober else "probes_ended",
-                    domain=one.name,
-                    holder=one.lease.holder,
+                    domain=domain.name,
+                    holder=domain.lease.holder,
                 )
-            one.is_probed = is_prober
+            domain.is_probed = is_prober
             if is_prober:
-                self._probe_members(one, now)
+                self._probe_members(domain, now)
 
-    def _begin(self, one: _Domain) -> None:
-        """Forget what an earlier tenure of this node knew.
+    def _start_tenure(self, domain: _Domain) -> None:
+        """Discard the knowledge from an earlier tenure of the lease.
 
-        Failure: another node held the domain in between and opened a
-        replica; this one takes it up again, still has its leader for
-        unopened and gives its members to another replica. What the
-        instances report is asked for anew, and none gets an order before.
+        Failure: this node loses the lease, another node opens a replica,
+        and this node takes the lease again. By its old knowledge the
+        leader is not open yet, and it gives the members to another
+        replica. Every instance is therefore probed again before it gets an
+        order.
         """
-        if one.fence == one.lease.fence:
+        if domain.fence == domain.lease.fence:
             return
-        one.fence = one.lease.fence
-        self._forget(one)
+        domain.fence = domain.lease.fence
+        self._reset_knowledge(domain)
 
     @staticmethod
-    def _forget(one: _Domain) -> None:
-        """Have the instances' state asked for anew."""
-        one.planner = formation.Planner(one.name, one.planner.engine)
-        one.probed.clear()
-        one.slow.clear()
+    def _reset_knowledge(domain: _Domain) -> None:
+        """Discard what is known of the instances, so that all are probed."""
+        domain.planner = formation.Planner(domain.name, domain.planner.engine)
+        domain.probed_at.clear()
+        domain.slow.clear()
 
     def stop(self) -> None:
-        """Give all leases back, so that a successor need not wait."""
+        """Stop the loop and release all leases.
+
+        A successor then need not wait until they lapse.
+        """
         self._stopping = True
         self._leases.release()
 
-    def _find_domains(self, now: float) -> None:
-        """Learn the domains from the instances, where these have changed.
+    def _update_domains(self, now: float) -> None:
+        """Find the domains and assign models after the fleet has changed.
 
-        The load it answers: in a thousand instances a few change their
-        state several times a second, which says nothing of the domains.
+        At most once per `_ASSIGN_INTERVAL`: among a thousand instances a
+        few change their state several times a second, which does not
+        change the domains.
         """
-        if not self._is_settled() or now < self._next_deal:
+        if not self._is_list_settled() or now < self._next_assignment:
             return
         services = tuple(self.services())
         state = self._fleet.generation, services
-        if state == self._dealt:
+        if state == self._assigned_from:
             return
-        self._dealt = state
-        self._next_deal = now + _DEAL_INTERVAL
+        self._assigned_from = state
+        self._next_assignment = now + _ASSIGN_INTERVAL
         for service in services:
             if service.engine is None:
                 continue
             instances = self._fleet.list_service(service.name)
             sizes = collections.Counter(
-                one.domain for one in instances if one.domain
+                instance.domain for instance in instances if instance.domain
             )
             for name in sizes:
                 if name not in self._domains:
-                    self._add(name, service)
-            staged = _find_staged(instances, sizes)
-            self._assign(service.engine, sizes, staged)
+                    self._add_domain(name, service)
+            staged = _find_staged_models(instances, sizes)
+            self._assign_models(service.engine, sizes, staged)
 
-    def _is_settled(self) -> bool:
+    def _is_list_settled(self) -> bool:
         """Return whether the list of instances has stopped growing.
 
         Failure: at the first start the instances register over some
-        seconds; domains dealt out after the first few of them get other
-        models than with all known, and their loads are in vain.
+        seconds. If models are assigned to domains after the first few
+        instances, the assignment changes once all are known, and the
+        weights loaded until then are wasted.
         """
-        # By the age of the list: one that has not come again says nothing.
+        # Time is measured by the list's updates: a list that has not been
+        # updated does not show that the fleet has stopped growing.
         seen = self._fleet.updated
         count = len(self._fleet.all())
-        if count > self._largest:
-            self._largest = count
+        if count > self._largest_count:
+            self._largest_count = count
             self._grown_at = seen
-        return bool(self._domains) or seen - self._grown_at > _SETTLED
+        return bool(self._domains) or seen - self._grown_at > _SETTLE_TIME
 
-    def _assign(
+    def _assign_models(
         self,
         engine: routes.Engine,
         sizes: abc.Mapping[ids.DomainName, int],
         staged: abc.Mapping[ids.DomainName, str],
     ) -> None:
-        """Learn the largest size of each domain, and its model.
+        """Assign a model, or a mix of models, to each domain.
 
-        Sizes only grow here: which model a domain is meant for must not
-        change whenever an instance is lost.
+        Uses the largest size seen of each domain, so that the assignment
+        does not change whenever an instance is lost.
         """
         for name, size in sizes.items():
             self._sizes[name] = max(self._sizes.get(name, 0), size)
         known = {name: self._sizes[name] for name in sizes}
         found = staging.assign_models(engine, known, staged)
-        # As dealt out at first, whatever the domains have by now: a mixed
-        # domain has more instances of one model than of the other.
+        # The mix is chosen from the assignment without staged models,
+        # because a mixed domain has more instances of one model than of
+        # the other.
         dealt = staging.assign_models(engine, known)
         mix = layout_module.choose_mix(engine, known, dealt)
         for name, model in found.items():
@@ -242,7 +271,9 @@
                 model, mix, self._sizes[name]
             )
 
-    def _add(self, name: ids.DomainName, service: routes.Service) -> None:
+    def _add_domain(
+        self, name: ids.DomainName, service: routes.Service
+    ) -> None:
         assert service.engine is not None
         lease = self._leases.add(name)
         planner = formation.Planner(name, service.engine)
@@ -251,80 +282,100 @@
     # -- Probes and orders
 
     def find_prober(self, instance: ids.InstanceId) -> ids.NodeId:
-        """Return who probes an instance's domain; empty for nobody."""
+        """Return the node that probes an instance's domain.
+
+        Returns:
+            The ID of the node; empty if the instance or the lease of its
+            domain is unknown.
+        """
         upstream = self._fleet.get(instance)
         if upstream is None:
             return ids.NodeId("")
         return self._leases.find_prober(upstream.domain, self._clock.now())
 
     def suspect(self, instance: ids.InstanceId) -> None:
-        """Probe all of a replica whose leader seems to stall."""
+        """Probe all members of a replica whose leader seems to stall.
+
+        Does nothing if this node does not probe the leader's domain.
+
+        Args:
+            instance: The leader.
+        """
         now = self._clock.now()
-        for one in self._domains.values():
-            if not one.is_probed:
+        for domain in self._domains.values():
+            if not domain.is_probed:
                 continue
-            leader = one.planner.knowledge.find(instance)
+            leader = domain.planner.knowledge.find(instance)
             if leader is None:
                 continue
-            for name in one.planner.knowledge.list_replica_members(instance):
-                self._probe(one, name, now)
-
-    def _probe_members(self, one: _Domain, now: float) -> None:
-        """Probe the instances whose report is wanted."""
-        members = self._fleet.list_domain(one.service, one.name)
-        one.planner.knowledge.note_list(members, now)
-        interval = _PROBE_INTERVAL if one.lease.held else _PROBER_INTERVAL
-        for name in one.planner.list_probes(now, _STEADY_INTERVAL):
-            self._probe(one, name, now, interval)
-        for name in list(one.slow):
-            self._probe(one, name, now, _SLOW_INTERVAL)
-
-    def _work(self, one: _Domain, now: float) -> None:
-        """Probe the instances and give the orders that are due."""
-        self._probe_members(one, now)
-        state = one.planner.describe()
-        if state != one.state:
-            one.state = state
-            self._log.write("domain_changed", domain=one.name, state=state)
-        allowed = self._count_loads(one, now)
-        orders = one.planner.plan(
+            for name in domain.planner.knowledge.list_replica_members(
+                instance
+            ):
+                self._probe(domain, name, now)
+
+    def _probe_members(self, domain: _Domain, now: float) -> None:
+        """Probe the instances that the planner asks for and the slow ones."""
+        members = self._fleet.list_domain(domain.service, domain.name)
+        domain.planner.knowledge.note_list(members, now)
+        interval = (
+            _PROBE_INTERVAL if domain.lease.held else _UNLEASED_PROBE_INTERVAL
+        )
+        for name in domain.planner.list_probes(now, _STEADY_PROBE_INTERVAL):
+            self._probe(domain, name, now, interval)
+        for name in list(domain.slow):
+            self._probe(domain, name, now, _SLOW_PROBE_INTERVAL)
+
+    def _manage(self, domain: _Domain, now: float) -> None:
+        """Probe the instances of a domain and send the orders that are due.
+
+        This node must hold the lease of the domain.
+        """
+        self._probe_members(domain, now)
+        state = domain.planner.describe()
+        if state != domain.state:
+            domain.state = state
+            self._log.write("domain_changed", domain=domain.name, state=state)
+        allowed = self._count_allowed_loads(domain, now)
+        orders = domain.planner.plan(
             now,
-            one.lease.fence * _EPOCHS,
-            one.layout,
-            self._find_demands(one),
+            domain.lease.fence * _EPOCHS_PER_FENCE,
+            domain.layout,
+            self._compute_demands(domain),
             allowed,
             self._balancer.has_seen_traffic,
         )
         stage = knowledge.OrderKind.STAGE
-        one.loads.spend(sum(order.kind is stage for order in orders))
+        domain.loads.spend(sum(order.kind is stage for order in orders))
         for order in orders:
-            eventlet.spawn_n(self._give, one, order)
+            eventlet.spawn_n(self._send_order, domain, order)
 
-    def _count_loads(self, one: _Domain, now: float) -> int:
-        """Return the loads of weights that a domain may start now."""
+    def _count_allowed_loads(self, domain: _Domain, now: float) -> int:
+        """Return how many loads of weights a domain may start now."""
         rate = 1.0
         for service in self.services():
-            if service.name == one.service and service.engine is not None:
+            if service.name == domain.service and service.engine is not None:
                 rate = service.engine.loads_per_second
-        allowed = one.loads.count(rate, len(self._domains), now)
+        allowed = domain.loads.count(rate, len(self._domains), now)
         if not self._balancer.has_seen_traffic:
-            # Before the first request the weight store sets no limit.
-            return _UNLIMITED
+            # The weight store's rate is not a limit before the first
+            # request.
+            return _UNLIMITED_LOADS
         return allowed
 
-    def _find_demands(self, one: _Domain) -> dict[str, formation.Demand]:
-        """Return need and supply of the models outside this domain."""
-        busy = self._balancer.count_busy(one.service)
-        elsewhere = self._supply.count_elsewhere(one.service, one.name)
+    def _compute_demands(self, domain: _Domain) -> dict[str, formation.Demand]:
+        """Return each model's demand, and its supply in other domains."""
+        busy = self._balancer.count_busy(domain.service)
+        elsewhere = self._supply.count_elsewhere(domain.service, domain.name)
         total = sum(busy.values())
         found = {}
         for service in self.services():
-            if service.name != one.service or service.engine is None:
+            if service.name != domain.service or service.engine is None:
                 continue
             for model in service.engine.models:
-                # Few requests say little: begin with what was expected.
-                expected = model.share * max(_EXPECTED_BUSY - total, 0)
-                kind = backlog.Kind(one.service, model.name)
+                # A few requests are no reliable measure of demand; start
+                # from the configured share of the model.
+                expected = model.share * max(_EXPECTED_REQUESTS - total, 0)
+                kind = backlog.Kind(domain.service, model.name)
                 waiting = self._balancer.count_all_waiting(
                     backlog.format_count_key(kind)
                 )
@@ -336,144 +387,156 @@
 
     def _probe(
         self,
-        one: _Domain,
+        domain: _Domain,
         name: ids.InstanceId,
         now: float,
         interval: float = _PROBE_INTERVAL,
     ) -> None:
-        """Probe an instance, once an interval at most."""
-        known = one.planner.knowledge.instances.get(name)
+        """Start a probe of an instance, at most one per interval.
+
+        Args:
+            domain: The domain of the instance.
+            name: The instance.
+            now: Monotonic time in seconds.
+            interval: Shortest time in seconds since its last probe.
+        """
+        known = domain.planner.knowledge.instances.get(name)
         if known is None:
-            one.slow.discard(name)
+            domain.slow.discard(name)
             return
-        if name in one.probing:
+        if name in domain.probes_in_flight:
             return
         if known.is_silent:
-            interval = max(interval, _SILENT_INTERVAL)
-        if now < one.probed.get(name, 0.0) + interval:
+            interval = max(interval, _SILENT_PROBE_INTERVAL)
+        if now < domain.probed_at.get(name, 0.0) + interval:
             return
         upstream = known.upstream
-        one.probed[name] = now
-        one.probing.add(name)
-        eventlet.spawn_n(self._run_probe, one, upstream, known.missed > 0)
+        domain.probed_at[name] = now
+        domain.probes_in_flight.add(name)
+        eventlet.spawn_n(self._run_probe, domain, upstream, known.missed > 0)
 
     def _run_probe(
-        self, one: _Domain, upstream: upstreams.Upstream, fresh: bool
+        self, domain: _Domain, upstream: upstreams.Upstream, fresh: bool
     ) -> None:
         try:
             found = self._engines.report(upstream, fresh)
         finally:
-            one.probing.discard(upstream.id)
+            domain.probes_in_flight.discard(upstream.id)
         self._meter.add("currantwall.probes", 1)
         now = self._clock.now()
         if isinstance(found, knowledge.ProbeResult):
-            known = one.planner.knowledge.instances.get(upstream.id)
+            known = domain.planner.knowledge.instances.get(upstream.id)
             if known is not None and not known.missed:
-                # A first miss is checked at once, a later one in its turn.
-                one.probed.pop(upstream.id, None)
-            if one.planner.knowledge.note_failure(upstream.id, found):
+                # Repeat the probe at once after a first miss, and at the
+                # usual interval after later ones.
+                domain.probed_at.pop(upstream.id, None)
+            if domain.planner.knowledge.note_failure(upstream.id, found):
                 self._meter.add("currantwall.instances.lost", 1, found.value)
                 self._log.write(
                     "instance_lost",
                     instance=upstream.id,
-                    domain=one.name,
+                    domain=domain.name,
                     why=found.value,
-                    seat=_describe(upstream),
+                    seat=_describe_seat(upstream),
                 )
-                self._tell_loss(one, upstream)
+                self._report_loss(domain, upstream)
         else:
-            one.planner.knowledge.note_report(found, now)
-            self._note_pace(one, found)
+            domain.planner.knowledge.note_report(found, now)
+            self._report_pace(domain, found)
 
-    def _note_pace(self, one: _Domain, found: upstreams.Upstream) -> None:
-        """Tell of a replica that a slow member slows down.
+    def _report_pace(self, domain: _Domain, found: upstreams.Upstream) -> None:
+        """Report a replica that a slow member slows down.
 
-        The load pattern: an instance runs at a twelfth of its speed for
-        some seconds and its replica with it; each of a hundred nodes would
-        find that out by a request of its own.
+        Failure: an instance, and with it its replica, runs at a twelfth of
+        its speed for some seconds, and each of a hundred nodes finds that
+        out by a request of its own.
         """
         is_slow = found.pace >= _SLOW_PACE
-        if is_slow != (found.id in one.slow):
+        if is_slow != (found.id in domain.slow):
             self._log.write(
                 "instance_slow" if is_slow else "instance_no_longer_slow",
                 instance=found.id,
-                domain=one.name,
+                domain=domain.name,
                 pace=found.pace,
-                seat=_describe(found),
+                seat=_describe_seat(found),
             )
         if not is_slow:
-            one.slow.discard(found.id)
+            domain.slow.discard(found.id)
             return
-        one.slow.add(found.id)
-        leader = self._find_leader(one, found.id)
+        domain.slow.add(found.id)
+        leader = self._find_leader(domain, found.id)
         if leader is not None:
             self.on_slow(leader.life)
 
-    def _tell_loss(self, one: _Domain, lost: upstreams.Upstream) -> None:
-        """Tell the leader of a replica that has lost a member."""
-        leader = self._find_leader(one, lost.id)
+    def _report_loss(self, domain: _Domain, lost: upstreams.Upstream) -> None:
+        """Call `on_loss` for the leader of a replica that lost a member."""
+        leader = self._find_leader(domain, lost.id)
         if leader is not None:
             self.on_loss(leader.life)
 
     @staticmethod
     def _find_leader(
-        one: _Domain, instance: ids.InstanceId
+        domain: _Domain, instance: ids.InstanceId
     ) -> upstreams.Upstream | None:
-        """Return the leader of an instance's replica, if it is open."""
-        for name in one.planner.knowledge.list_replica_members(instance):
-            member = one.planner.knowledge.find(name)
+        """Return the open leader of an instance's replica, or None."""
+        for name in domain.planner.knowledge.list_replica_members(instance):
+            member = domain.planner.knowledge.find(name)
             if member is not None and member.seat is not None:
                 leads = member.seat.rank == 0
                 if leads and member.seat.phase is upstreams.Phase.OPEN:
                     return member
         return None
 
-    def _give(self, one: _Domain, order: knowledge.Order) -> None:
-        """Send an order while the lease certainly holds."""
-        if not one.lease.tracker.holds(self._clock.now()):
+    def _send_order(self, domain: _Domain, order: knowledge.Order) -> None:
+        """Send an order, unless the lease has run out meanwhile."""
+        if not domain.lease.tracker.holds(self._clock.now()):
             return
         answer = self._engines.order(order)
         now = self._clock.now()
-        one.planner.knowledge.note_answer(order, answer.accepted, now)
+        domain.planner.knowledge.note_answer(order, answer.accepted, now)
         self._meter.add("currantwall.orders", 1, order.kind.value)
         self._log.write(
             "order",
             kind=order.kind.value,
             instance=order.instance,
-            domain=one.name,
+            domain=domain.name,
             replica=order.replica or order.model,
             epoch=order.epoch,
             sequence=order.sequence,
-            fence=one.lease.fence,
+            fence=domain.lease.fence,
             accepted=answer.accepted,
             answer=answer.detail,
         )
 
 
-_UNLIMITED = 1_000_000
-# Requests in work below which the expected shares of the models count.
-_EXPECTED_BUSY = 10.0
+_UNLIMITED_LOADS = 1_000_000
+# Number of requests in flight below which the configured shares of the
+# models add to their demand.
+_EXPECTED_REQUESTS = 10.0
 
 
 def _ignore(_: str) -> None:
     return
 
 
-def _find_staged(
+def _find_staged_models(
     instances: abc.Iterable[upstreams.Upstream],
     sizes: abc.Mapping[ids.DomainName, int],
 ) -> dict[ids.DomainName, str]:
-    """Return the model that more than half of a domain's instances have.
+    """Return the model staged on most instances of each domain.
+
+    Domains without a model on more than half of their instances are left
+    out.
 
-    Failure: domains are dealt out by size, and one that grows by two
-    instances makes others change places; new instances are then loaded
-    with a model of which their domain has nothing.
+    Failure: models are assigned by the domains' sizes, so a domain that
+    grows by two instances changes the assignment of others, and new
+    instances are loaded with a model that the rest of their domain lacks.
     """
     counts = collections.Counter(
-        (one.domain, model)
-        for one in instances
-        for model in one.staged
-        if one.domain
+        (instance.domain, model)
+        for instance in instances
+        for model in instance.staged
+        if instance.domain
     )
     return {
         name: model
@@ -482,7 +545,7 @@
     }
 
 
-def _describe(upstream: upstreams.Upstream) -> str:
+def _describe_seat(upstream: upstreams.Upstream) -> str:
     seat = upstream.seat
     if seat is None:
         return ""
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -53,7 +53,7 @@
     Mutant(
         "a slow member is told of once",
         "currantwall/transport/duties.py",
-        "        one.slow.add(found.id)\n",
+        "        domain.slow.add(found.id)\n",
         "",
         f"{_DUTIES}.SlowTest.test_a_slow_member_is_told_until_it_no_longer_is",
     ),
