--- a/currantwall/transport/domainleases.py
+++ b/currantwall/transport/domainleases.py
@@ -1,8 +1,8 @@
-"""The leases of domains in the store: who may give orders there.
+"""Leases of domains in the store; the holder may send orders there.
 
-For each domain one node holds a lease. Which node tries first follows
-from the domain's name and the live nodes; that it is only one follows
-from the conditional write alone.
+For each domain one node holds a lease. The order in which nodes try to
+take it follows from the domain's name and the live nodes. That only one
+node holds it is ensured by the conditional write alone.
 """
 
 from collections import abc
@@ -23,22 +23,24 @@
 
 KIND = "currantwall-domains"
 
-# Seconds a lease lasts without renewal, and between renewals: a holder
-# that is killed is succeeded after 1.4 to 2.2 s.
-_TTL = 1.8
-_RENEWAL = 0.6
-# Seconds before its end at which a holder stops giving orders: an order
-# may be on its way that long.
-_MARGIN = 0.45
-# Seconds until a node that failed to take a lease tries again.
-_RETRY = 1.0
-# The same for the node that held it last: nobody else can have it yet.
-_RETRY_OWN = 0.5
-# Seconds between two looks at leases of which no node tells.
-_LOOK_INTERVAL = 2.0
-# Seconds without news of a lease, which comes with the heartbeats, after
-# which it is looked at: two renewals and a round of heartbeats.
-_UNTOLD = 1.6
+# Seconds a lease lasts without renewal, and seconds between renewals. A
+# killed holder is succeeded after 1.4 to 2.2 s.
+_LEASE_TTL = 1.8
+_RENEW_INTERVAL = 0.6
+# Seconds before the end of the lease at which its holder stops sending
+# orders: an order may be in transit that long.
+_LEASE_MARGIN = 0.45
+# Seconds until a node whose write failed tries again to take the lease.
+_RETRY_DELAY = 1.0
+# The same for the node that held the lease last: no other node can hold
+# it yet.
+_HOLDER_RETRY_DELAY = 0.5
+# Seconds between two reads of the leases in the store, while some of them
+# are missing from the heartbeats.
+_READ_INTERVAL = 2.0
+# A lease is read from the store if the heartbeats have reported no renewal
+# for this many seconds: two renewals and one round of heartbeats.
+_STALE_AGE = 1.6
 
 
 class DomainLease:
@@ -49,18 +51,22 @@
     ) -> None:
         self.name = name
         self.tracker = tracker
+        # Revision of the stored lease; 0 if there is none, None if that is
+        # not known yet.
         self.revision: int | None = None
+        # Fencing number; rises each time the lease is taken.
         self.fence = 0
-        # Who was last seen to hold it.
+        # The last known holder, which may have lost the lease meanwhile.
         self.holder = ids.NodeId("")
         self.writing = False
+        # Whether this node held it at the last tick.
         self.held = False
         self.next_renewal = 0.0
         self.next_try = 0.0
 
 
 class DomainLeases:
-    """Takes, renews and gives back the leases of domains."""
+    """Takes, renews and releases the leases of domains."""
 
     def __init__(
         self,
@@ -74,132 +80,146 @@
         self._log = log
         self._clock = clock
         self._leases: dict[ids.DomainName, DomainLease] = {}
-        self._looked = False
-        self._next_look = 0.0
+        self._has_read = False
+        self._next_read = 0.0
         self._attempts = 0
 
     def add(self, name: ids.DomainName) -> DomainLease:
-        """Return the lease of a domain that was not known."""
+        """Add a new domain and return its lease."""
         me = self._presence.me
         tracker = leases.LeaseTracker(
-            me.id, ids.Incarnation(me.incarnation), _MARGIN
+            me.id, ids.Incarnation(me.incarnation), _LEASE_MARGIN
         )
         lease = self._leases[name] = DomainLease(name, tracker)
-        if self._looked:
-            self._looked = False
-            self._next_look = 0.0
+        if self._has_read:
+            self._has_read = False
+            self._next_read = 0.0
         return lease
 
-    def look(self, now: float) -> None:
-        """Look at the leases in the store if one may be taken unseen.
+    def refresh(self, now: float) -> None:
+        """Start to read the leases if this node may take a stale one.
 
-        The load it answers: hundreds of nodes of which a few may ever hold
-        a lease, while each call is paid for.
+        Only candidates for a stale lease read: of hundreds of nodes only a
+        few may ever hold a lease, and each call is paid for.
+
+        Args:
+            now: Monotonic time in seconds.
         """
-        if now < self._next_look:
+        if now < self._next_read:
             return
-        untold = [
-            one
-            for one in self._leases.values()
-            if one.tracker.is_silent(now, _UNTOLD)
+        stale_leases = [
+            lease
+            for lease in self._leases.values()
+            if lease.tracker.is_silent(now, _STALE_AGE)
         ]
-        if not untold:
+        if not stale_leases:
             return
-        self._next_look = now + _LOOK_INTERVAL
-        if any(self._is_candidate(one, now) for one in untold):
-            eventlet.spawn_n(self._look)
+        self._next_read = now + _READ_INTERVAL
+        if any(self._is_candidate(lease, now) for lease in stale_leases):
+            eventlet.spawn_n(self._read_leases)
 
-    def _is_candidate(self, one: DomainLease, now: float) -> bool:
-        """Return whether this node may try for a lease when it is free."""
-        return leases.is_candidate(self._find_place(one, now))
+    def _is_candidate(self, lease: DomainLease, now: float) -> bool:
+        """Return whether this node may take a lease once it has lapsed."""
+        return leases.is_candidate(self._find_rank(lease, now))
 
-    def _find_place(self, one: DomainLease, now: float) -> int:
-        """Return this node's place in the order of preference."""
-        rank = self._presence.rank(f"domain:{one.name}", now)
-        return rank.index(self._presence.me.id)
+    def _find_rank(self, lease: DomainLease, now: float) -> int:
+        """Return this node's rank among the candidates, 0 for the first."""
+        ranking = self._presence.rank(f"domain:{lease.name}", now)
+        return ranking.index(self._presence.me.id)
 
-    def is_prober(self, one: DomainLease, now: float) -> bool:
-        """Return whether this node looks for losses in a lapsed domain.
+    def is_prober(self, lease: DomainLease, now: float) -> bool:
+        """Return whether this node probes a domain whose lease has lapsed.
 
-        The load pattern: the store is away for seconds, no lease can be
-        renewed, and instances are lost all the same. No order may be given
-        then, but callers need not be sent to replicas that are not whole.
+        Failure: the store is unavailable for seconds, no lease can be
+        renewed, and instances are lost meanwhile. No order may be sent
+        then, but the probes keep requests away from incomplete replicas.
         """
-        if not one.tracker.is_lapsed(now) or self._presence.is_isolated(now):
+        if not lease.tracker.is_lapsed(now) or self._presence.is_isolated(now):
             return False
-        return self._find_prober(one, now) == self._presence.me.id
-
-    def _find_prober(self, one: DomainLease, now: float) -> ids.NodeId:
-        """Return the last holder if it lives, else the first in rank."""
-        if self._presence.is_live(one.holder, now):
-            return one.holder
-        return self._presence.rank(f"domain:{one.name}", now)[0]
-
-    def tick(self, one: DomainLease, now: float) -> bool:
-        """Take or renew a lease if that is due; return whether it holds."""
-        holds = one.tracker.holds(now)
-        if holds != one.held:
-            one.held = holds
+        return self._find_prober(lease, now) == self._presence.me.id
+
+    def _find_prober(self, lease: DomainLease, now: float) -> ids.NodeId:
+        """Return the last holder if it is live, else the first-ranked."""
+        if self._presence.is_live(lease.holder, now):
+            return lease.holder
+        return self._presence.rank(f"domain:{lease.name}", now)[0]
+
+    def tick(self, lease: DomainLease, now: float) -> bool:
+        """Start to take or renew a lease if that is due.
+
+        Args:
+            lease: The lease of the domain.
+            now: Monotonic time in seconds.
+
+        Returns:
+            Whether this node holds the lease now.
+        """
+        holds = lease.tracker.holds(now)
+        if holds != lease.held:
+            lease.held = holds
             self._log.write(
                 "duty_taken" if holds else "duty_lost",
-                domain=one.name,
-                fence=one.fence,
-                revision=one.revision,
+                domain=lease.name,
+                fence=lease.fence,
+                revision=lease.revision,
             )
-        due = now >= one.next_renewal if holds else self._may_take(one, now)
+        due = (
+            now >= lease.next_renewal if holds else self._may_take(lease, now)
+        )
         if due:
-            self._write_lease(one, now)
+            self._start_write(lease, now)
         return holds
 
-    def _look(self) -> None:
-        """Read the leases; what is seen late only delays a takeover.
+    def _read_leases(self) -> None:
+        """Read all leases from the store.
 
-        Failure: a takeover by what an old read shows fails and is tried
-        again, so the first read is a fresh one.
+        The first read is a fresh one, because a takeover on the basis of a
+        stale read fails and has to be repeated. Later reads may be stale,
+        which only delays a takeover.
         """
-        listed = self._store.list(KIND, stale=self._looked)
+        listed = self._store.list(KIND, stale=self._has_read)
         if isinstance(listed, result.Err):
             return
         now = self._clock.now()
         found = {stored.name: stored for stored in listed.ok_value.objects}
-        for one in self._leases.values():
-            stored = found.get(one.name)
+        for lease in self._leases.values():
+            stored = found.get(lease.name)
             if stored is not None:
-                self._see(one, stored, now)
-            elif one.revision is None:
-                one.revision = 0
-                one.tracker.see(ids.Version(0), None, now)
-        self._looked = True
-
-    def _see(
-        self, one: DomainLease, stored: ports.StoredObject, now: float
+                self._record_stored(lease, stored, now)
+            elif lease.revision is None:
+                lease.revision = 0
+                lease.tracker.see(ids.Version(0), None, now)
+        self._has_read = True
+
+    def _record_stored(
+        self, lease: DomainLease, stored: ports.StoredObject, now: float
     ) -> None:
-        if one.revision is not None and stored.revision < one.revision:
+        if lease.revision is not None and stored.revision < lease.revision:
             return
         try:
             held = msgspec.json.decode(stored.value, type=domain_module.Domain)
         except msgspec.MsgspecError as error:
-            # Counts as held by nobody; the next holder overwrites it.
+            # Treated as held by nobody; the next holder overwrites it.
             self._log.write(
-                "lease_unreadable", domain=one.name, why=str(error)
+                "lease_unreadable", domain=lease.name, why=str(error)
             )
             held = None
-        one.revision = stored.revision
+        lease.revision = stored.revision
         self._presence.staleness.note_revision(stored.revision, now)
-        one.tracker.see(ids.Version(stored.revision), held, now)
+        lease.tracker.see(ids.Version(stored.revision), held, now)
         if held is not None and held.lease is not None:
-            one.fence = held.lease.epoch
-            one.holder = held.lease.holder
+            lease.fence = held.lease.epoch
+            lease.holder = held.lease.holder
 
     def list_leases(self, now: float) -> dict[str, presence_module.HeldLease]:
-        """Return the leases that this node holds."""
+        """Return the leases that this node holds, by domain name."""
         me = self._presence.me
         return {
-            one.name: presence_module.HeldLease(
-                one.revision or 0, one.fence, me.id, me.incarnation
+            lease.name: presence_module.HeldLease(
+                lease.revision or 0, lease.fence, me.id, me.incarnation
             )
-            for one in self._leases.values()
-            if one.tracker.holds(now)
+            for lease in self._leases.values()
+            if lease.tracker.holds(now)
         }
 
     def note_leases(
@@ -207,115 +227,126 @@
         held: abc.Mapping[str, presence_module.HeldLease],
         now: float,
     ) -> None:
-        """Take note of other nodes' renewals.
+        """Record other nodes' renewals, as their heartbeats report them.
+
+        Heartbeats show a renewal sooner than a read of the store does, so
+        a takeover waits from the last renewal and not from the last read.
 
-        They come sooner than a look at the store shows them, so that a
-        takeover counts from the last renewal and not from the last look.
+        Args:
+            held: The leases by domain name.
+            now: Monotonic time in seconds.
         """
-        for name, told in held.items():
-            one = self._leases.get(ids.DomainName(name))
-            if one is None or one.tracker.holds(now):
+        for name, reported in held.items():
+            lease = self._leases.get(ids.DomainName(name))
+            if lease is None or lease.tracker.holds(now):
                 continue
-            if one.revision is not None and told.revision <= one.revision:
+            if (
+                lease.revision is not None
+                and reported.revision <= lease.revision
+            ):
                 continue
-            one.revision = told.revision
-            self._presence.staleness.note_revision(told.revision, now)
-            one.fence = max(one.fence, told.epoch)
-            one.holder = told.holder
-            lease = domain_module.Lease(
-                holder=told.holder,
-                incarnation=ids.Incarnation(told.incarnation),
-                epoch=ids.Epoch(told.epoch),
-                ttl=_TTL,
+            lease.revision = reported.revision
+            self._presence.staleness.note_revision(reported.revision, now)
+            lease.fence = max(lease.fence, reported.epoch)
+            lease.holder = reported.holder
+            reported_lease = domain_module.Lease(
+                holder=reported.holder,
+                incarnation=ids.Incarnation(reported.incarnation),
+                epoch=ids.Epoch(reported.epoch),
+                ttl=_LEASE_TTL,
             )
             value = domain_module.Domain(
-                name=one.name,
+                name=lease.name,
                 datacentre=self._presence.me.datacentre,
-                lease=lease,
+                lease=reported_lease,
             )
-            one.tracker.see(ids.Version(told.revision), value, now)
+            lease.tracker.see(ids.Version(reported.revision), value, now)
 
-    def _may_take(self, one: DomainLease, now: float) -> bool:
-        if one.writing or now < one.next_try:
+    def _may_take(self, lease: DomainLease, now: float) -> bool:
+        if lease.writing or now < lease.next_try:
             return False
-        if not one.tracker.is_lapsed(now):
-            # Most of the time; spares working out who goes first.
+        if not lease.tracker.is_lapsed(now):
+            # The usual case; avoids computing the ranking.
             return False
-        place = self._find_place(one, now)
-        return leases.may_take(one.tracker, place, _RENEWAL, now)
+        rank = self._find_rank(lease, now)
+        return leases.may_take(lease.tracker, rank, _RENEW_INTERVAL, now)
 
-    def _write_lease(self, one: DomainLease, now: float) -> None:
-        if one.writing:
+    def _start_write(self, lease: DomainLease, now: float) -> None:
+        if lease.writing:
             return
-        one.writing = True
-        one.next_renewal = now + _RENEWAL
-        eventlet.spawn_n(self._store_lease, one, now)
+        lease.writing = True
+        lease.next_renewal = now + _RENEW_INTERVAL
+        eventlet.spawn_n(self._put_lease, lease, now)
 
-    def _store_lease(self, one: DomainLease, now: float) -> None:
+    def _put_lease(self, lease: DomainLease, now: float) -> None:
         me = self._presence.me
         self._attempts += 1
         attempt = ids.AttemptId(f"{me.id}:{me.incarnation}:{self._attempts}")
-        fence = one.fence if one.tracker.holds(now) else one.fence + 1
+        fence = lease.fence if lease.tracker.holds(now) else lease.fence + 1
         value = domain_module.Domain(
-            name=one.name,
+            name=lease.name,
             datacentre=me.datacentre,
             lease=domain_module.Lease(
                 holder=me.id,
                 incarnation=ids.Incarnation(me.incarnation),
                 epoch=ids.Epoch(fence),
-                ttl=_TTL,
+                ttl=_LEASE_TTL,
             ),
             attempt=attempt,
         )
-        one.tracker.note_sent(attempt, now)
+        lease.tracker.note_sent(attempt, now)
         try:
             outcome = self._store.put(
-                KIND, one.name, msgspec.json.encode(value), one.revision
+                KIND, lease.name, msgspec.json.encode(value), lease.revision
             )
             if isinstance(outcome, result.Ok):
-                self._see(one, outcome.ok_value, self._clock.now())
+                self._record_stored(lease, outcome.ok_value, self._clock.now())
             else:
                 failure = outcome.err_value
-                own = one.tracker.is_mine()
-                wait = _RETRY_OWN if own else _RETRY
-                one.next_try = self._clock.now() + wait
+                own = lease.tracker.is_mine()
+                wait = _HOLDER_RETRY_DELAY if own else _RETRY_DELAY
+                lease.next_try = self._clock.now() + wait
                 self._log.write(
                     "lease_not_written",
-                    domain=one.name,
-                    revision=one.revision,
+                    domain=lease.name,
+                    revision=lease.revision,
                     why=failure.value,
                 )
                 if failure is not ports.StoreFailure.UNAVAILABLE:
-                    self._read_lease(one)
+                    self._read_lease(lease)
         finally:
-            one.writing = False
+            lease.writing = False
 
-    def _read_lease(self, one: DomainLease) -> None:
-        """Settle a write that failed or whose answer was lost."""
-        outcome = self._store.get(KIND, one.name)
+    def _read_lease(self, lease: DomainLease) -> None:
+        """Read a lease after a write that failed or whose answer was lost."""
+        outcome = self._store.get(KIND, lease.name)
         if isinstance(outcome, result.Ok):
-            self._see(one, outcome.ok_value, self._clock.now())
+            self._record_stored(lease, outcome.ok_value, self._clock.now())
 
     def find_prober(self, name: ids.DomainName, now: float) -> ids.NodeId:
-        """Return who looks for losses in a domain; empty for nobody."""
+        """Return the node that probes a domain; empty if it is unknown.
+
+        It is the last holder of the lease if that is live, else the
+        first-ranked node.
+        """
         lease = self._leases.get(name)
         return self._find_prober(lease, now) if lease else ids.NodeId("")
 
     def release(self) -> None:
-        """Give all leases back, so that a successor need not wait."""
-        for one in self._leases.values():
-            if one.tracker.holds(self._clock.now()):
+        """Release all leases, so that a successor need not wait."""
+        for lease in self._leases.values():
+            if lease.tracker.holds(self._clock.now()):
                 value = domain_module.Domain(
-                    name=one.name,
+                    name=lease.name,
                     datacentre=self._presence.me.datacentre,
                     lease=domain_module.Lease(
                         holder=ids.NodeId(""),
                         incarnation=ids.Incarnation(0),
-                        epoch=ids.Epoch(one.fence),
+                        epoch=ids.Epoch(lease.fence),
                         ttl=0.0,
                     ),
                 )
                 data = msgspec.json.encode(value)
                 eventlet.spawn_n(
-                    self._store.put, KIND, one.name, data, one.revision
+                    self._store.put, KIND, lease.name, data, lease.revision
                 )
--- a/currantwall/transport/duties.py
+++ b/currantwall/transport/duties.py
@@ -152,7 +152,7 @@
             now: Monotonic time in seconds.
         """
         self._update_domains(now)
-        self._leases.look(now)
+        self._leases.refresh(now)
         for domain in self._domains.values():
             if self._leases.tick(domain.lease, now):
                 domain.is_probed = True
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -84,7 +84,7 @@
     Mutant(
         "nobody tells of losses while nobody holds a lease",
         "currantwall/transport/domainleases.py",
-        "        return self._find_prober(one, now) == self._presence.me.id\n",
+        "        return self._find_prober(lease, now) == self._presence.me.id\n",
         "        return False\n",
         f"{_DUTIES}.ProbeTest.test_a_loss_is_told_while_the_store_is_away",
     ),
@@ -235,8 +235,8 @@
     Mutant(
         "a fence used again",
         "currantwall/transport/domainleases.py",
-        "else one.fence + 1\n",
-        "else one.fence\n",
+        "else lease.fence + 1\n",
+        "else lease.fence\n",
         f"{_DUTIES}.LeaseTest.test_a_fence_is_never_used_by_two_holders",
     ),
     Mutant(
