--- a/currantwall/transport/fleets.py
+++ b/currantwall/transport/fleets.py
@@ -1,9 +1,9 @@
 """Keeps the list of instances up to date.
 
-A few nodes of each data centre read it for all (`Presence.reads_store`),
-by reads that may be seconds old: they cost a tenth, and what must be
-fresh is asked of the instances themselves. The others fetch from them
-what has changed.
+A few nodes of each data centre read the list from the store
+(`Presence.reads_store`); the others fetch the changes from them. The reads
+may be stale by seconds. They cost a tenth of fresh ones, and whatever must
+be fresh is requested from the instances themselves.
 """
 
 from collections import abc
@@ -25,26 +25,29 @@
 
 __all__ = ["FleetFeed"]
 
-# Seconds after the store's return in which lapsed entries come back: two,
-# and one read.
-_ENTRIES_BACK = 2.5
-# Seconds between two reads of the instances' list.
-_FLEET_INTERVAL = 0.5
-# The same after a failure, where other nodes read the store for this one.
-_OUTAGE_INTERVAL = 4.0
-# Seconds between two looks at whether a node has a newer list.
-_LOOK_INTERVAL = 0.25
-# Tells this feed's loss of the store from another one's in the log.
-_FEED = "instances"
-# Names in one line of the log.
+# Seconds after the end of an outage within which lapsed entries return:
+# two seconds, plus one read.
+_ENTRY_RETURN_TIME = 2.5
+# Seconds between two reads of the list from the store.
+_READ_INTERVAL = 0.5
+# The same after a failed read, on a node that need not read for others.
+_OUTAGE_READ_INTERVAL = 4.0
+# Seconds between two checks whether a peer has a newer list.
+_FOLLOW_INTERVAL = 0.25
+# Name of this feed in the log lines about the store.
+_FEED_NAME = "instances"
+# Largest number of instance names in one field of a log line.
 _NAMES_LIMIT = 8
 
 
 class FleetFeed:
     """Keeps the list of instances.
 
-    A node that doesn't read the store, or is turned away by it, takes
-    what has changed from a peer that has a newer list.
+    A node that does not read the store, or that the store refuses, fetches
+    the changes from a peer that has a newer list.
+
+    Attributes:
+        on_change: Called after the list has changed.
     """
 
     def __init__(
@@ -60,13 +63,13 @@
         self._history = presence.store_history
         self._reachable = True
         # When the store last answered this node.
-        self._answered: float | None = None
-        self._news = eventlet.event.Event()
-        # Instances held although the list lacks them.
-        self._kept: set[ids.InstanceId] = set()
-        # Called when the list held here has changed.
+        self._answered_at: float | None = None
+        # Sent when a peer reports a newer list.
+        self._newer_list = eventlet.event.Event()
+        # Instances kept although the list lacks them, as last logged.
+        self._unlisted: set[ids.InstanceId] = set()
         self.on_change: abc.Callable[[], None] = _ignore
-        # The newest list, for the peers.
+        # The newest list with its recent changes, for the peers.
         self._changes: changes.ChangeLog[ports.StoredObject] = (
             changes.ChangeLog()
         )
@@ -83,10 +86,10 @@
         return self._changes.changed
 
     def run(self) -> None:
-        """Follow the store, or whoever reads it, for ever."""
+        """Follow the store, or a peer that reads it, forever."""
         while True:
             now = self._clock.now()
-            self._drop_kept(now)
+            self._drop_unlisted(now)
             if self._presence.reads_store(now):
                 self._read_store(now)
                 eventlet.sleep(self._choose_wait(now))
@@ -96,143 +99,164 @@
     def _choose_wait(self, now: float) -> float:
         """Return the seconds until the next read.
 
-        In an outage those that read for others are enough.
+        In an outage the nodes that read for others are enough, unless this
+        node has no list yet.
         """
-        hurries = not self._fleet.is_known or self._presence.is_reader(now)
-        if self._reachable or hurries:
-            return _FLEET_INTERVAL
-        return _OUTAGE_INTERVAL
+        is_urgent = not self._fleet.is_known or self._presence.is_reader(now)
+        if self._reachable or is_urgent:
+            return _READ_INTERVAL
+        return _OUTAGE_READ_INTERVAL
 
-    def _read_store(self, asked: float) -> None:
-        listed = self._list_upstreams(asked)
+    def _read_store(self, asked_at: float) -> None:
+        listed = self._list_upstreams(asked_at)
         if isinstance(listed, result.Err):
-            self._history.note_failure(asked)
+            self._history.note_failure(asked_at)
             self._note_unreachable(listed.err_value)
-            self._ask_peer(asked)
+            self._fetch_newest(asked_at)
             return
-        self._history.note_answer(asked)
+        self._history.note_answer(asked_at)
         self._note_reachable()
-        self._answered = asked
-        self._take(listed.ok_value, asked)
+        self._answered_at = asked_at
+        self._apply_list(listed.ok_value, asked_at)
 
     def _list_upstreams(
-        self, asked: float
+        self, asked_at: float
     ) -> result.Result[ports.Listing, ports.StoreFailure]:
-        """Read the list; afresh where reads that may be old lag.
+        """Read the list, with a fresh read if stale reads lag too much.
+
+        Failure: stale reads lag by seconds at times, and an instance that
+        has announced that it leaves gets requests for as long.
 
-        Failure: such reads are seconds old at times, and an instance that
-        said that it leaves gets requests for as long.
+        Args:
+            asked_at: Monotonic time in seconds.
         """
         kind = self._documents.upstreams_kind
         staleness = self._presence.staleness
-        if staleness.is_strict(asked):
+        if staleness.is_strict(asked_at):
             return self._store.list(kind, stale=False)
         listed = self._store.list(kind, stale=True)
         if isinstance(listed, result.Err):
             return listed
         revision = listed.ok_value.revision
-        if not staleness.note_read(revision, asked):
+        if not staleness.note_read(revision, asked_at):
             return listed
-        self._log.write("old_read", feed=_FEED, revision=revision)
+        self._log.write("old_read", feed=_FEED_NAME, revision=revision)
         return self._store.list(kind, stale=False)
 
     def _follow_reader(self, now: float) -> None:
-        """Take what is new; wait where nothing is."""
+        """Fetch a newer list from a peer, or wait if there is none."""
         newer = self._presence.find_newer_list(self.changed, now)
-        if newer is not None and self._fetch(newer, now):
+        if newer is not None and self._fetch_list(newer, now):
             return
         if newer is None:
-            seen = self._presence.store_answered_at or 0.0
-            self._fleet.updated = max(self._fleet.updated, seen)
-        with eventlet.Timeout(_LOOK_INTERVAL, False):
-            self._news.wait()
-
-    def _drop_kept(self, now: float) -> None:
-        """Drop what had lapsed and has not come back in time."""
-        if self._fleet.has_kept and not self._keeps_missing(now):
-            held = ports.Listing(self._changes.objects, self._fleet.revision)
-            self._take(held, now)
-
-    def note_news(self, changed: int) -> None:
-        """Take note of a revision that another node has."""
+            answered_at = self._presence.store_answered_at or 0.0
+            self._fleet.updated = max(self._fleet.updated, answered_at)
+        with eventlet.Timeout(_FOLLOW_INTERVAL, False):
+            self._newer_list.wait()
+
+    def _drop_unlisted(self, now: float) -> None:
+        """Drop lapsed instances that have not returned in time."""
+        if self._fleet.has_kept and not self._may_lack_entries(now):
+            listing = ports.Listing(
+                self._changes.objects, self._fleet.revision
+            )
+            self._apply_list(listing, now)
+
+    def note_peer_revision(self, changed: int) -> None:
+        """Wake this feed if another node has a newer list.
+
+        Args:
+            changed: Revision at which that node's list last changed.
+        """
         if changed > self.changed:
-            news, self._news = self._news, eventlet.event.Event()
-            news.send(None)
+            event, self._newer_list = self._newer_list, eventlet.event.Event()
+            event.send(None)
 
     def get_store_age(self, now: float) -> float | None:
         """Return the seconds since the store answered this node.
 
-        None where it is not this node's turn to read it.
+        None if this node does not read the store, or got no answer yet.
         """
-        if self._answered is None or not self._presence.reads_store(now):
+        if self._answered_at is None or not self._presence.reads_store(now):
             return None
-        return now - self._answered
+        return now - self._answered_at
 
     def _note_unreachable(self, why: ports.StoreFailure) -> None:
         if self._reachable:
             self._reachable = False
-            self._log.write("store_lost", feed=_FEED, why=why.value)
+            self._log.write("store_lost", feed=_FEED_NAME, why=why.value)
 
     def _note_reachable(self) -> None:
         if not self._reachable:
             self._reachable = True
-            self._log.write("store_regained", feed=_FEED)
+            self._log.write("store_regained", feed=_FEED_NAME)
 
     def _find_outage(self, now: float) -> outages.Outage | None:
-        """Return the outage for which entries may be missing.
+        """Return the outage because of which entries may be missing.
 
-        Failure: entries lapse while the store is away, and with its
-        return the list lacks instances that serve; every replica would
-        be taken apart. They are back within two seconds.
+        Failure: entries lapse during an outage, so after it the list lacks
+        instances that still serve, and every replica is dissolved. The
+        entries return within two seconds.
         """
         outage = self._history.find_last_outage(now)
         if outage is None or outage.ended is None:
-            # A list may come from a peer before the news of an answer.
+            # A peer's list may arrive before the report that the store has
+            # answered.
             return outage
-        return outage if now < outage.ended + _ENTRIES_BACK else None
+        return outage if now < outage.ended + _ENTRY_RETURN_TIME else None
 
-    def _keeps_missing(self, now: float) -> bool:
-        """Return whether entries may be missing of instances that live."""
+    def _may_lack_entries(self, now: float) -> bool:
+        """Return whether the list may lack entries of live instances."""
         return self._find_outage(now) is not None
 
-    # -- What peers have
+    # -- Lists of peers
 
-    def _ask_peer(self, now: float) -> None:
-        """Take the newest list that a peer has."""
+    def _fetch_newest(self, now: float) -> None:
+        """Fetch the newest list that a peer has, if it is newer."""
         newer = self._presence.find_newer_list(self.changed, now)
         if newer is not None:
-            self._fetch(newer, now)
+            self._fetch_list(newer, now)
+
+    def _fetch_list(self, node: presence_module.NodeEntry, now: float) -> bool:
+        """Fetch and apply a peer's changes.
 
-    def _fetch(self, node: presence_module.NodeEntry, now: float) -> bool:
-        """Take what has changed from a peer; return whether that went."""
+        Returns:
+            Whether the peer answered with a newer list.
+        """
         try:
-            data = peers.fetch(node.peer, peers.make_path(self.changed))
+            data = peers.fetch(
+                node.peer, peers.make_instances_path(self.changed)
+            )
             found = msgspec.msgpack.decode(data, type=ports.Listing)
         except peers.FAILURES as error:
             why = type(error).__name__
             self._log.write("peer_fetch_failed", peer=node.id, why=why)
             return False
         if found.changed <= self.changed:
-            # It was told of before, but the peer has started again since.
+            # The peer has restarted since it reported a newer list.
             return False
         if found.failure_age is not None:
             self._history.note_failure(now - found.failure_age)
-        self._take_passed_on(found, now)
+        self._apply_peer_list(found, now)
         self._changes.include_revision(found.changed)
         return True
 
-    def _take_passed_on(self, found: ports.Listing, now: float) -> None:
-        """Take over a peer's list, or what has changed in it."""
-        if not found.since:
-            self._take(found, now)
-        elif self._fleet.has_kept or self._keeps_missing(now):
-            objects = self._changes.apply(found.objects, found.removed)
-            self._take(ports.Listing(objects, found.revision), now)
+    def _apply_peer_list(self, listing: ports.Listing, now: float) -> None:
+        """Apply a peer's answer: a whole list, or the changes to one."""
+        if not listing.since:
+            self._apply_list(listing, now)
+        elif self._fleet.has_kept or self._may_lack_entries(now):
+            objects = self._changes.apply(listing.objects, listing.removed)
+            self._apply_list(ports.Listing(objects, listing.revision), now)
         else:
-            self._take_changes(found, now)
+            self._apply_changes(listing, now)
 
     def list_changes(self, since: int) -> ports.Listing:
-        """Return what a peer lacks that asks from a revision."""
+        """Return the changes after a revision, for a peer.
+
+        Args:
+            since: Revision of the peer's list; 0 if it has none.
+        """
         now = self._clock.now()
         outage = self._find_outage(now)
         found = self._changes.list_since(since)
@@ -245,35 +269,40 @@
             now - outage.failed if outage else None,
         )
 
-    # -- What is known
+    # -- The list of this node
 
-    def _take_changes(self, found: ports.Listing, asked: float) -> None:
-        """Take over what differs from the list held here."""
+    def _apply_changes(self, listing: ports.Listing, asked_at: float) -> None:
+        """Apply changes to the list of this node."""
         listed, unreadable = self._decoder.decode_changes(
-            found.objects, found.removed
+            listing.objects, listing.removed
         )
-        gone = {ids.InstanceId(name) for name in found.removed} | unreadable
-        if not self._fleet.update(listed, gone, found.revision, asked):
+        gone = {ids.InstanceId(name) for name in listing.removed} | unreadable
+        if not self._fleet.update(listed, gone, listing.revision, asked_at):
             return
-        self._changes.merge(found.objects, found.removed, found.revision)
+        self._changes.merge(listing.objects, listing.removed, listing.revision)
         self.on_change()
-        self._log_changes(found.revision)
+        self._log_changes(listing.revision)
 
-    def _take(self, listing: ports.Listing, asked: float) -> None:
+    def _apply_list(self, listing: ports.Listing, asked_at: float) -> None:
         found = self._decoder.decode(listing.objects)
-        keep = self._keeps_missing(asked)
-        if not self._fleet.replace(found, listing.revision, asked, keep):
+        keep_missing = self._may_lack_entries(asked_at)
+        if not self._fleet.replace(
+            found, listing.revision, asked_at, keep_missing
+        ):
             return
         known = self.changed
         self._changes.replace(listing.objects, listing.revision)
         if self.changed > known:
             self.on_change()
         self._log_changes(listing.revision)
-        if keep or self._kept:
-            self._log_kept({one.id for one in found}, listing.revision)
+        if keep_missing or self._unlisted:
+            self._log_unlisted({one.id for one in found}, listing.revision)
 
     def _log_changes(self, revision: int) -> None:
-        """Log who came, began to drain or went with the last list."""
+        """Log the instances that the last change added or removed.
+
+        Also logs the instances that have begun to leave.
+        """
         change = self._fleet.changed
         before = {one.id: one.leaving for one in change.old}
         after = {one.id: one.leaving for one in change.new}
@@ -293,44 +322,47 @@
             revision=revision,
         )
 
-    def _log_kept(self, listed: set[ids.InstanceId], revision: int) -> None:
-        """Log the instances that are held although the list lacks them."""
-        kept = {one.id for one in self._fleet.all()} - listed
-        if kept != self._kept:
-            self._kept = kept
+    def _log_unlisted(
+        self, listed: set[ids.InstanceId], revision: int
+    ) -> None:
+        """Log the instances kept although the list lacks them, on change."""
+        unlisted = {one.id for one in self._fleet.all()} - listed
+        if unlisted != self._unlisted:
+            self._unlisted = unlisted
             self._log.write(
                 "instances_kept",
-                kept=sorted(kept)[:_NAMES_LIMIT],
-                count=len(kept),
+                kept=sorted(unlisted)[:_NAMES_LIMIT],
+                count=len(unlisted),
                 revision=revision,
             )
 
 
 class _Decoder:
-    """Decodes entries, each one once for each of its revisions."""
+    """Decodes entries of instances, each revision of an entry once."""
 
     def __init__(self, documents: ports.Documents) -> None:
         self._documents = documents
-        # Revision of each entry, and the instance; none if unreadable.
-        self._held: dict[str, tuple[int, upstreams.Upstream | None]] = {}
+        # Revision and instance of each entry; no instance if unreadable.
+        self._cache: dict[str, tuple[int, upstreams.Upstream | None]] = {}
 
     def decode(
         self, objects: abc.Collection[ports.StoredObject]
     ) -> list[upstreams.Upstream]:
-        """Return the instances in readable entries."""
-        held = self._held
-        self._decode(
+        """Return the instances of the readable entries of a whole list."""
+        cache = self._cache
+        self._update_cache(
             [
-                one
-                for one in objects
-                if one.name not in held or held[one.name][0] != one.revision
+                stored
+                for stored in objects
+                if stored.name not in cache
+                or cache[stored.name][0] != stored.revision
             ]
         )
-        if len(held) > len(objects):
-            present = {one.name for one in objects}
-            for name in held.keys() - present:
-                del held[name]
-        listed = (held[one.name][1] for one in objects)
+        if len(cache) > len(objects):
+            present = {stored.name for stored in objects}
+            for name in cache.keys() - present:
+                del cache[name]
+        listed = (cache[stored.name][1] for stored in objects)
         return [one for one in listed if one is not None]
 
     def decode_changes(
@@ -338,22 +370,32 @@
         objects: abc.Collection[ports.StoredObject],
         removed: abc.Iterable[str],
     ) -> tuple[list[upstreams.Upstream], set[ids.InstanceId]]:
-        """Return the instances in some entries, and who is unreadable."""
-        self._decode(objects)
+        """Decode changed entries.
+
+        Args:
+            objects: The entries that were added or changed.
+            removed: Names of the entries that were removed.
+
+        Returns:
+            The instances, and the IDs of the unreadable entries.
+        """
+        self._update_cache(objects)
         for name in removed:
-            self._held.pop(name, None)
-        listed = [self._held[one.name][1] for one in objects]
+            self._cache.pop(name, None)
+        listed = [self._cache[stored.name][1] for stored in objects]
         found = [one for one in listed if one is not None]
-        names = {ids.InstanceId(one.name) for one in objects}
+        names = {ids.InstanceId(stored.name) for stored in objects}
         return found, names - {one.id for one in found}
 
-    def _decode(self, objects: abc.Collection[ports.StoredObject]) -> None:
+    def _update_cache(
+        self, objects: abc.Collection[ports.StoredObject]
+    ) -> None:
         decoded = {
             one.id: one for one in self._documents.decode_upstreams(objects)
         }
         for stored in objects:
             name = ids.InstanceId(stored.name)
-            self._held[stored.name] = stored.revision, decoded.get(name)
+            self._cache[stored.name] = stored.revision, decoded.get(name)
 
 
 def _ignore() -> None:
--- a/currantwall/transport/peers.py
+++ b/currantwall/transport/peers.py
@@ -1,4 +1,4 @@
-"""What nodes fetch from each other: the configuration, the instances."""
+"""Fetches the configuration and the list of instances from peers."""
 
 import http.client
 import urllib.parse
@@ -16,17 +16,18 @@
     "INSTANCES_PATH",
     "compress",
     "fetch",
-    "make_path",
+    "make_instances_path",
     "parse_since",
 ]
 
 CONFIGURATION_PATH = "/configuration"
 INSTANCES_PATH = "/instances"
-# Seconds for a fetch: 3 ms between data centres, and room for 0.1 MB to
-# each of fifty nodes over the thinnest link.
-_TIMEOUT = 0.5
-# zlib's fastest; 1.5 ms for 0.2 MB.
-_COMPRESSION = 1
+# Seconds for a fetch: 3 ms between data centres, plus the time to send
+# 0.1 MB to each of fifty nodes over the slowest link.
+_FETCH_TIMEOUT = 0.5
+# The fastest level of zlib: 1.5 ms for 0.2 MB.
+_COMPRESSION_LEVEL = 1
+# What `fetch`, or decoding its result, may raise.
 FAILURES = (
     OSError,
     http.client.HTTPException,
@@ -38,9 +39,17 @@
 
 
 def fetch(address: str, path: str) -> bytes:
-    """Return what a peer has; raises one of `FAILURES`."""
-    with eventlet.Timeout(_TIMEOUT):
-        connection = exchanges.open_connection(address, _TIMEOUT)
+    """Fetch a document from a peer and decompress it.
+
+    Args:
+        address: The peer's `host:port`.
+        path: Path of the document, with its query.
+
+    Raises:
+        One of `FAILURES`.
+    """
+    with eventlet.Timeout(_FETCH_TIMEOUT):
+        connection = exchanges.open_connection(address, _FETCH_TIMEOUT)
         try:
             connection.request("GET", path)
             response = connection.getresponse()
@@ -53,21 +62,21 @@
 
 
 def compress(data: bytes) -> bytes:
-    """Return a document as peers pass it on.
+    """Compress a document for peers.
 
     A configuration of 1,400 routes has 0.2 MB, and fifty nodes fetch it
-    from the two that have it; compressed it has a tenth.
+    from the two that have it. Compression reduces it to a tenth.
     """
-    return zlib.compress(data, _COMPRESSION)
+    return zlib.compress(data, _COMPRESSION_LEVEL)
 
 
-def make_path(since: int) -> str:
-    """Return where what has changed after a revision is found."""
+def make_instances_path(since: int) -> str:
+    """Return the path of the changes after a revision of the list."""
     return f"{INSTANCES_PATH}?since={since}"
 
 
 def parse_since(target: str) -> int:
-    """Return the revision that a peer asks from, 0 for none."""
+    """Return the revision in a request's target; 0 if it names none."""
     query = urllib.parse.parse_qs(target.partition("?")[2])
     text = query.get("since", ["0"])[0]
     return int(text) if text.isdecimal() else 0
--- a/tests/test_feeds.py
+++ b/tests/test_feeds.py
@@ -319,7 +319,7 @@
         known = {one.name: one for one in self.reader.feed._changes.objects}
         kept = [known.get(one.name, one) for one in listing.objects]
         listing = ports.Listing(tuple(kept), revision)
-        self.reader.feed._take(listing, self.clock.now())
+        self.reader.feed._apply_list(listing, self.clock.now())
 
     def tell(self, store_age=0.0):
         """Let the follower hear what the reader has."""
@@ -349,9 +349,9 @@
         with (
             mock.patch.object(peers, "fetch", fetch),
             mock.patch.object(fleets.eventlet, "Timeout", mock.MagicMock()),
-            mock.patch.object(self.follower.feed, "_news"),
+            mock.patch.object(self.follower.feed, "_newer_list"),
         ):
-            self.follower.feed._drop_kept(self.clock.now())
+            self.follower.feed._drop_unlisted(self.clock.now())
             self.follower.feed._follow_reader(self.clock.now())
         return calls
 
