--- a/currantwall/transport/configurations.py
+++ b/currantwall/transport/configurations.py
@@ -1,9 +1,9 @@
 """Keeps the configuration up to date.
 
-The configuration is watched by a few nodes of each data centre
-(`Presence.reads_store`). The others hear in heartbeats and digests that
-there is a newer one and fetch it from whoever has it; that also serves
-nodes that the store turns away.
+A few nodes of each data centre watch the configuration in the store
+(`Presence.reads_store`). The others learn of a newer version from
+heartbeats and digests and fetch it from a peer that has it; so do nodes
+that the store refuses.
 """
 
 from collections import abc
@@ -23,29 +23,36 @@
 
 __all__ = ["ConfigurationFeed"]
 
-# Seconds that one watch waits. A watch that has silently lost its
-# connection is noticed after that; the watches of the nodes end at
+# Seconds that one watch waits. After that time a watch whose connection
+# was lost silently is noticed. The watches of different nodes end at
 # different times, so that some node always has a fresh one.
-_WATCH_WAIT = 4.0
+_WATCH_TIMEOUT = 4.0
+# Seconds to wait after the first failure, and at most.
 _BACKOFF_FIRST = 0.1
 _BACKOFF_LIMIT = 1.0
-# The same where other nodes read the store for this one: a hundred that
-# try by turns find out soon enough when it is back.
-_PATIENCE_FIRST = 4.0
-_PATIENCE_LIMIT = 8.0
+# The same on nodes for which other nodes read the store: a hundred nodes
+# that try at different times still notice its return soon enough.
+_FOLLOWER_BACKOFF_FIRST = 4.0
+_FOLLOWER_BACKOFF_LIMIT = 8.0
 # Seconds that a node which watches the store waits before it fetches a
-# newer version from a peer: its own watch mostly tells it first.
-_PEER_PATIENCE = 0.15
-# Seconds after the start in which the readers are heard.
-_START_PAUSE = 1.2
-# Seconds between two looks at whether this node has to watch.
-_LOOK_INTERVAL = 0.25
-# Tells this feed's loss of the store from another one's in the log.
-_FEED = "configuration"
+# newer version from a peer: its own watch usually returns that version
+# first.
+_PEER_FETCH_DELAY = 0.15
+# Seconds after the start within which the readers' heartbeats arrive.
+_START_DELAY = 1.2
+# Seconds between two checks whether this node has to watch the store.
+_ROLE_CHECK_INTERVAL = 0.25
+# Name of this feed in the log lines about the store.
+_FEED_NAME = "configuration"
 
 
 class ConfigurationFeed:
-    """Keeps the newest configuration in force."""
+    """Follows the configuration and applies its newest version.
+
+    Attributes:
+        document: The newest document, compressed for the peers.
+        on_change: Called after another version has been applied.
+    """
 
     def __init__(
         self,
@@ -64,14 +71,14 @@
         self._clock = clock
         seed = hashing.hash_text(presence.me.id)
         self._backoff = calls.Backoff(_BACKOFF_FIRST, _BACKOFF_LIMIT, seed)
-        self._patience = calls.Backoff(_PATIENCE_FIRST, _PATIENCE_LIMIT, seed)
-        self._spread = (seed % 16) / 16.0
+        self._follower_backoff = calls.Backoff(
+            _FOLLOWER_BACKOFF_FIRST, _FOLLOWER_BACKOFF_LIMIT, seed
+        )
+        self._jitter = (seed % 16) / 16.0
         self._reachable = True
         self._fetching = False
         self._started = False
-        # The newest document, compressed, for the peers.
         self.document = b""
-        # Called when another version has come into force.
         self.on_change: abc.Callable[[], None] = _ignore
 
     @property
@@ -82,59 +89,72 @@
 
     @property
     def is_store_there(self) -> bool:
-        """Return whether the store answered the last call, or none yet."""
+        """Return whether the store answered the last call.
+
+        True as well before the first call.
+        """
         return self._reachable
 
     def run(self) -> None:
-        """Follow the store, or whoever reads it, for ever."""
+        """Follow the store, or the peers that read it, forever."""
         while True:
             if self.version and not self._reads_store():
-                eventlet.sleep(_LOOK_INTERVAL)
+                eventlet.sleep(_ROLE_CHECK_INTERVAL)
                 continue
             listed = self._store.list(self._documents.configuration_kind)
-            if not self._note(listed):
+            if not self._check_outcome(listed):
                 continue
             assert isinstance(listed, result.Ok)
-            self._take_all(listed.ok_value, "store")
+            self._apply_listing(listed.ok_value, "store")
             if self.version and not self._started:
-                # Nobody is heard yet; most nodes need no watch of their own.
-                eventlet.sleep(_START_PAUSE)
+                # No heartbeat has arrived yet, and most nodes will not need
+                # a watch of their own.
+                eventlet.sleep(_START_DELAY)
             self._started = True
             if not self.version or self._reads_store():
-                self._follow(listed.ok_value.revision)
+                self._watch_store(listed.ok_value.revision)
 
     def _reads_store(self) -> bool:
         return self._presence.reads_store(self._clock.now())
 
-    def _follow(self, since: int) -> None:
-        """Watch until the history is gone or another node watches."""
-        wait = _WATCH_WAIT * (0.5 + self._spread / 2)
+    def _watch_store(self, since: int) -> None:
+        """Watch until a watch fails or this node need not read the store.
+
+        Args:
+            since: Revision from which to watch.
+        """
+        wait = _WATCH_TIMEOUT * (0.5 + self._jitter / 2)
         kind = self._documents.configuration_kind
         while True:
             changed = self._store.watch(kind, since, wait)
-            wait = _WATCH_WAIT
-            if not self._note(changed):
+            wait = _WATCH_TIMEOUT
+            if not self._check_outcome(changed):
                 return
-            # Not before: the store may drop its history again and again,
-            # and each time the list is read anew without any wait.
+            # Reset the backoffs only after a watch has succeeded. The store
+            # may drop its history repeatedly, and each list read between
+            # two watches would reset the wait.
             self._backoff.succeed()
-            self._patience.succeed()
+            self._follower_backoff.succeed()
             assert isinstance(changed, result.Ok)
-            self._take_all(changed.ok_value, "store")
+            self._apply_listing(changed.ok_value, "store")
             since = max(since, changed.ok_value.revision)
             self._presence.staleness.note_revision(since, self._clock.now())
             if not self._reads_store():
                 return
 
-    def _note(
+    def _check_outcome(
         self, outcome: result.Result[ports.Listing, ports.StoreFailure]
     ) -> bool:
-        """Log the loss and return of the store; wait after a failure."""
+        """Log the loss and return of the store; wait after a failure.
+
+        Returns:
+            Whether the call succeeded.
+        """
         if isinstance(outcome, result.Ok):
             if not self._reachable:
                 self._reachable = True
                 self._log.write(
-                    "store_regained", feed=_FEED, version=self.version
+                    "store_regained", feed=_FEED_NAME, version=self.version
                 )
             return True
         expired = outcome.err_value is ports.StoreFailure.EXPIRED
@@ -142,29 +162,35 @@
             self._reachable = False
             why = outcome.err_value.value
             self._log.write(
-                "store_lost", feed=_FEED, why=why, version=self.version
+                "store_lost", feed=_FEED_NAME, why=why, version=self.version
             )
         eventlet.sleep(self._choose_backoff().fail())
         return False
 
     def _choose_backoff(self) -> calls.Backoff:
-        """Return how long to wait after a failure.
+        """Return the backoff to use after a failure.
 
         Failure: in an outage every node calls the store each second, and
-        each call is paid for. Those that read for others are enough.
+        each call is paid for. The nodes that read for others are enough,
+        unless this node has no configuration yet.
         """
-        hurries = not self.version or self._presence.is_reader(
+        is_urgent = not self.version or self._presence.is_reader(
             self._clock.now()
         )
-        return self._backoff if hurries else self._patience
+        return self._backoff if is_urgent else self._follower_backoff
 
-    def _take_all(self, listing: ports.Listing, source: str) -> None:
+    def _apply_listing(self, listing: ports.Listing, source: str) -> None:
         for stored in listing.objects:
             if stored.name == self._documents.configuration_name:
-                self.take(stored.value, source)
+                self.apply(stored.value, source)
+
+    def apply(self, document: bytes, source: str) -> None:
+        """Apply a document if its version is newer than the one in force.
 
-    def take(self, document: bytes, source: str) -> None:
-        """Put a document in force if it is newer than what is."""
+        Args:
+            document: The encoded configuration.
+            source: Where it comes from, for the log: the store or a peer.
+        """
         decoded = self._documents.decode_configuration(document)
         if isinstance(decoded, result.Err):
             self._log.write(
@@ -189,24 +215,32 @@
         )
         self.on_change()
 
-    def note_peer(self, node: presence_module.NodeEntry, version: int) -> None:
-        """Fetch a newer version from a peer that has one.
+    def note_peer_version(
+        self, node: presence_module.NodeEntry, version: int
+    ) -> None:
+        """Fetch the configuration from a peer if the peer's is newer.
+
+        Failure: the store serves the operator and other nodes but refuses
+        this one, which goes on accepting removed routes and keys.
 
-        Failure: the store serves the operator and other nodes but turns
-        this one away; it would go on with dropped routes and keys.
+        Args:
+            node: The peer.
+            version: The version in force there.
         """
         if version > self.version and not self._fetching:
             self._fetching = True
-            eventlet.spawn_n(self._fetch, node, version)
+            eventlet.spawn_n(self._fetch_document, node, version)
 
-    def _fetch(self, node: presence_module.NodeEntry, version: int) -> None:
+    def _fetch_document(
+        self, node: presence_module.NodeEntry, version: int
+    ) -> None:
         try:
             if self.version and self._reads_store():
-                eventlet.sleep(_PEER_PATIENCE)
+                eventlet.sleep(_PEER_FETCH_DELAY)
             if version <= self.version:
                 return
             document = peers.fetch(node.peer, peers.CONFIGURATION_PATH)
-            self.take(document, node.id)
+            self.apply(document, node.id)
         except peers.FAILURES as error:
             self._log.write(
                 "peer_fetch_failed", peer=node.id, why=type(error).__name__
--- a/currantwall/transport/news.py
+++ b/currantwall/transport/news.py
@@ -141,7 +141,7 @@
     ) -> None:
         """Act on what another node tells."""
         self._budget.note_nodes(self._presence.count())
-        self._configuration.note_peer(told.node, told.configuration)
+        self._configuration.note_peer_version(told.node, told.configuration)
         self._fleets.note_peer_revision(told.instances)
         self._leases.note_leases(told.leases, now)
         self._suspect(told.stalled)
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -68,8 +68,8 @@
     Mutant(
         "other nodes try an absent store as often as readers",
         "currantwall/transport/configurations.py",
-        "_PATIENCE_FIRST = 4.0\n",
-        "_PATIENCE_FIRST = 0.1\n",
+        "_FOLLOWER_BACKOFF_FIRST = 4.0\n",
+        "_FOLLOWER_BACKOFF_FIRST = 0.1\n",
         f"{_FEEDS}.ConfigurationFeedTest"
         ".test_an_outage_costs_others_than_readers_a_call_in_seconds",
     ),
--- a/tests/test_feeds.py
+++ b/tests/test_feeds.py
@@ -604,7 +604,7 @@
         feed = self.make([make_versions(1, 7)], [make_versions(2, 9, 8)])
         self.store.limit = 3
         self.run_feed(feed)
-        feed.take(b"8", "peer")
+        feed.apply(b"8", "peer")
         self.assertEqual(feed.version, 9)
 
     def test_what_cannot_be_read_leaves_the_version_in_force(self):
