--- a/currantwall/gateway.py
+++ b/currantwall/gateway.py
@@ -215,7 +215,7 @@
 
     def _open_front(self) -> None:
         """Let requests through once the node can serve them, or can't."""
-        while not self._is_ready and self._configuration.is_store_there:
+        while not self._is_ready and self._configuration.is_store_reachable:
             eventlet.sleep(_START_POLL)
         self._forwarder.open()
 
--- a/currantwall/transport/configurations.py
+++ b/currantwall/transport/configurations.py
@@ -88,7 +88,7 @@
         return table.version if table else 0
 
     @property
-    def is_store_there(self) -> bool:
+    def is_store_reachable(self) -> bool:
         """Return whether the store answered the last call.
 
         True as well before the first call.
