--- a/currantwall/transport/heartbeats.py
+++ b/currantwall/transport/heartbeats.py
@@ -1,8 +1,8 @@
-"""Heartbeats between the nodes, as datagrams.
+"""Sends and receives heartbeats between the nodes as UDP datagrams.
 
-A datagram is sent whether or not the receiver lives and is lost if it
-does not: nothing queues for a node that is gone, and no connection can
-fall silent. Each one stands for itself, so a lost one costs nothing.
+A datagram to a node that is down is simply lost: nothing queues up for
+that node, and there is no connection that could hang. Each message is
+complete in itself, so a lost one needs no repetition.
 """
 
 from collections import abc
@@ -19,19 +19,21 @@
 
 __all__ = ["Heartbeats"]
 
-# Seconds between two heartbeats. At 13 nodes 400 datagrams a second in
-# all; a node that is killed is avoided after three and a bit.
-_INTERVAL = 0.4
-# Seconds between heartbeats that are sent out of turn for urgent news.
+# Seconds between two heartbeats. 13 nodes send 400 datagrams a second in
+# all. A killed node is avoided after a little more than three intervals.
+_HEARTBEAT_INTERVAL = 0.4
+# Shortest time in seconds between a heartbeat and one that is sent early
+# because of an urgent report.
 _URGENT_INTERVAL = 0.05
-_DATAGRAM_LIMIT = 65_000
+# Most bytes that are read of one datagram.
+_DATAGRAM_SIZE_LIMIT = 65_000
 
 Compose = abc.Callable[[int], list[digests.Datagram]]
 Deliver = abc.Callable[[digests.Message], None]
 
 
 class Heartbeats:
-    """Owns the socket for what nodes tell each other."""
+    """Owns the UDP socket for heartbeats, digests and alarms."""
 
     def __init__(
         self,
@@ -53,50 +55,52 @@
         self._encoder = msgspec.msgpack.Encoder()
         self._decoder = msgspec.msgpack.Decoder(digests.Message)
         self._serial = 0
-        self._sent = 0.0
-        # When the next heartbeat out of turn is due, if one is.
-        self._due: float | None = None
+        self._sent_at = 0.0
+        # When the next early heartbeat is due; None if there is none.
+        self._urgent_at: float | None = None
 
     def run_receiver(self) -> None:
-        """Take messages for ever."""
+        """Receive and deliver messages forever."""
         while True:
             try:
-                data, _ = self._socket.recvfrom(_DATAGRAM_LIMIT)
+                data, _ = self._socket.recvfrom(_DATAGRAM_SIZE_LIMIT)
                 message = self._decoder.decode(data)
             except (OSError, msgspec.MsgspecError):
-                # Damaged, foreign, or an error of an earlier send.
+                # A damaged or foreign datagram, or the delayed error of an
+                # earlier send.
                 eventlet.sleep(0)
                 continue
             self._meter.add("currantwall.peers.received", 1)
             self._deliver(message)
 
     def run_sender(self) -> None:
-        """Send what is due for ever."""
+        """Send a round of messages in each interval, forever."""
         while True:
             self.send()
-            eventlet.sleep(_INTERVAL)
+            eventlet.sleep(_HEARTBEAT_INTERVAL)
 
-    def hurry(self, interval: float = _URGENT_INTERVAL) -> None:
-        """Send what is due out of turn, a bounded number of times.
+    def send_soon(self, interval: float = _URGENT_INTERVAL) -> None:
+        """Schedule an early round of messages.
 
         Args:
-            interval: Seconds since the last heartbeat at least.
+            interval: Shortest time in seconds since the last round, which
+                bounds the number of rounds.
         """
-        due = max(self._sent + interval, self._clock.now())
-        if self._due is None or due < self._due:
-            self._due = due
+        due = max(self._sent_at + interval, self._clock.now())
+        if self._urgent_at is None or due < self._urgent_at:
+            self._urgent_at = due
             eventlet.spawn_n(self._send_urgent, due)
 
     def _send_urgent(self, due: float) -> None:
         eventlet.sleep(max(due - self._clock.now(), 0.0))
-        if self._due == due:
-            self._due = None
+        if self._urgent_at == due:
+            self._urgent_at = None
             self.send()
 
     def send(self) -> None:
         """Send one round of messages."""
         self._serial += 1
-        self._sent = self._clock.now()
+        self._sent_at = self._clock.now()
         for datagram in self._compose(self._serial):
             self.send_one(datagram)
 
@@ -111,5 +115,6 @@
             try:
                 self._socket.sendto(data, (host, int(port)))
             except OSError:
-                # The link is full or cut; the next one tells the same.
+                # The link is congested or cut; the next round repeats the
+                # report.
                 continue
--- a/currantwall/transport/news.py
+++ b/currantwall/transport/news.py
@@ -1,7 +1,7 @@
-"""What this node tells the others, and what it makes of what they tell.
+"""Composes this node's heartbeats and handles those of other nodes.
 
-Heartbeats, digests and alarms come and go here; who gets which is decided
-in `coordination.peers.digests`.
+The same holds for digests and alarms. Who receives which message is
+decided in `coordination.peers.digests`.
 """
 
 from collections import abc
@@ -22,19 +22,27 @@
 
 __all__ = ["News"]
 
-# Seconds for which urgent news goes into each heartbeat: two of them.
-_TOLD = 0.5
-# The same for a replica that is slow: longer than from one probe of its
-# slow member to the next.
-_SLOW_TOLD = 1.5
+# Seconds for which an urgent report is part of each heartbeat: that makes
+# two heartbeats.
+_URGENT_REPORT_TTL = 0.5
+# The same for the report of a slow replica: longer than the interval
+# between two probes of its slow member.
+_SLOW_REPORT_TTL = 1.5
 # Seconds between heartbeats while replicas are nearly full.
-_PRESSED_INTERVAL = 0.12
-# Stands for all other nodes where a relay adds up their counts.
+_HIGH_LOAD_INTERVAL = 0.12
+# The balancer's key for the counts of all other nodes, as summed by a
+# relay.
 _ALL_NODES = ids.NodeId("")
 
 
 class News:
-    """Exchanges news with the other nodes."""
+    """Exchanges heartbeats, digests and alarms with the other nodes.
+
+    Attributes:
+        is_ready: Returns whether this node takes requests.
+        abort_attempts: Called with the epoch ID of a leader whose replica
+            has lost a member; ends the attempts at it.
+    """
 
     def __init__(
         self,
@@ -45,7 +53,7 @@
         configuration: configurations.ConfigurationFeed,
         instances: fleets.FleetFeed,
         leases: domainleases.DomainLeases,
-        holder: duties.Duties,
+        domain_duties: duties.Duties,
         meter: metrics_module.Metrics,
         clock: timers.TimerService,
     ) -> None:
@@ -53,36 +61,33 @@
         self._balancer = balancer
         self._budget = budget
         self._configuration = configuration
-        self._fleets = instances
+        self._fleet_feed = instances
         self._leases = leases
-        self._duties = holder
+        self._duties = domain_duties
         self._now = clock.now
         self._relay = digests.Relay(presence)
         self._heartbeats = heartbeats.Heartbeats(
-            address, self._compose, self._hear, meter, clock
+            address, self._compose, self._receive, meter, clock
         )
         self.run_receiver = self._heartbeats.run_receiver
         self.run_sender = self._heartbeats.run_sender
         self.send = self._heartbeats.send
-        # Whether this node takes requests.
-        self.is_ready: abc.Callable[[], bool] = _say_no
-        # Ends the attempts at a leader, by its life, that has lost a
-        # member.
+        self.is_ready: abc.Callable[[], bool] = _is_never_ready
         self.give_up: abc.Callable[[str], None] = _ignore
-        # What the next heartbeats tell, and until when.
+        # What the next heartbeats report, and until when.
         self._stalled: dict[str, float] = {}
         self._lost: dict[str, float] = {}
         self._slow: dict[str, float] = {}
-        # Requests in work as last told.
-        self._told_loads: dict[str, int] = {}
+        # This node's requests in flight as last sent, by upstream.
+        self._sent_loads: dict[str, int] = {}
 
     def _compose(self, serial: int) -> list[digests.Datagram]:
-        """Return what is due to be told to the other nodes."""
+        """Return the datagrams of this round of heartbeats."""
         now = self._now()
-        self._stalled = _drop_past(self._stalled, now)
-        self._lost = _drop_past(self._lost, now)
-        self._slow = _drop_past(self._slow, now)
-        self._told_loads = self._balancer.list_loads(now)
+        self._stalled = _drop_expired(self._stalled, now)
+        self._lost = _drop_expired(self._lost, now)
+        self._slow = _drop_expired(self._slow, now)
+        self._sent_loads = self._balancer.list_loads(now)
         self._presence.ready = self.is_ready()
         self._balancer.are_counts_relayed = not self._presence.is_full_mesh
         own = presence_module.Heartbeat(
@@ -90,28 +95,28 @@
             serial=serial,
             ready=self.is_ready(),
             configuration=self._configuration.version,
-            loads=self._told_loads,
+            loads=self._sent_loads,
             stalled=tuple(self._stalled),
             lost=tuple(self._lost),
             slow=tuple(self._slow),
-            instances=self._fleets.changed,
+            instances=self._fleet_feed.changed,
             leases=self._leases.list_leases(now),
-            store_age=self._fleets.get_store_age(now),
+            store_age=self._fleet_feed.get_store_age(now),
         )
         return self._relay.list_datagrams(own, now)
 
-    def _hear(self, message: digests.Message) -> None:
+    def _receive(self, message: digests.Message) -> None:
         now = self._now()
         if isinstance(message, presence_module.Heartbeat):
-            self._hear_heartbeat(message, now)
+            self._receive_heartbeat(message, now)
         elif isinstance(message, digests.Digest):
-            self._hear_digest(message, now)
+            self._receive_digest(message, now)
         else:
             self._suspect(message.stalled)
         if self._relay.take_urgent():
-            self._heartbeats.hurry()
+            self._heartbeats.send_soon()
 
-    def _hear_heartbeat(
+    def _receive_heartbeat(
         self, heartbeat: presence_module.Heartbeat, now: float
     ) -> None:
         if not self._presence.note_heartbeat(heartbeat, now):
@@ -120,46 +125,53 @@
         if heartbeat.asks is not presence_module.RelayRequest.WITHOUT_LOADS:
             name = heartbeat.node.id
             self._balancer.note_loads(name, heartbeat.loads, now)
-        self._take_news(heartbeat, now)
+        self._apply_report(heartbeat, now)
 
-    def _hear_digest(self, digest: digests.Digest, now: float) -> None:
+    def _receive_digest(self, digest: digests.Digest, now: float) -> None:
         if not self._relay.note_digest(digest, now):
             return
-        acting = self._relay.is_active(now)
-        if acting and digest.is_part:
+        is_relay = self._relay.is_active(now)
+        if is_relay and digest.is_part:
             self._balancer.note_loads(digest.node.id, digest.loads, now)
-        elif not acting and not digest.is_part:
-            # The sum of all nodes, from whichever relay came last.
-            others = _subtract(digest.loads, self._told_loads)
+        elif not is_relay and not digest.is_part:
+            # The sum over all nodes, from whichever relay sent it last; it
+            # includes this node's own counts.
+            others = _subtract_own(digest.loads, self._sent_loads)
             self._balancer.note_loads(_ALL_NODES, others, now)
-        self._take_news(digest, now)
+        self._apply_report(digest, now)
 
-    def _take_news(
+    def _apply_report(
         self,
-        told: presence_module.Heartbeat | digests.Digest,
+        report: presence_module.Heartbeat | digests.Digest,
         now: float,
     ) -> None:
-        """Act on what another node tells."""
+        """Act on all but the loads in another node's report."""
         self._budget.note_nodes(self._presence.count())
-        self._configuration.note_peer_version(told.node, told.configuration)
-        self._fleets.note_peer_revision(told.instances)
-        self._leases.note_leases(told.leases, now)
-        self._suspect(told.stalled)
-        for life in told.lost:
-            self._take_loss(life, now)
-        for life in told.slow:
-            self._take_slow(life, now)
+        self._configuration.note_peer_version(
+            report.node, report.configuration
+        )
+        self._fleet_feed.note_peer_revision(report.instances)
+        self._leases.note_leases(report.leases, now)
+        self._suspect(report.stalled)
+        for epoch_id in report.lost:
+            self._note_loss(epoch_id, now)
+        for epoch_id in report.slow:
+            self._note_slow(epoch_id, now)
 
     def _suspect(self, stalled: abc.Iterable[str]) -> None:
         for name in stalled:
             self._duties.suspect(ids.InstanceId(name))
 
     def tell_doubt(self, instance: ids.InstanceId) -> None:
-        """Have a silent upstream looked at by who probes its domain."""
-        self._stalled[instance] = self._now() + _TOLD
+        """Have a stalled upstream probed by the node that probes its domain.
+
+        Args:
+            instance: The upstream.
+        """
+        self._stalled[instance] = self._now() + _URGENT_REPORT_TTL
         self._duties.suspect(instance)
         if self._presence.is_full_mesh:
-            self._heartbeats.hurry()
+            self._heartbeats.send_soon()
             return
         prober = self._presence.get(self._duties.find_prober(instance))
         if prober is not None:
@@ -167,55 +179,57 @@
             self._heartbeats.send_one(digests.Datagram((prober,), alarm))
 
     def tell_loads(self) -> None:
-        """Tell of requests in work sooner, while replicas are nearly full.
+        """Send this node's counts sooner while replicas are nearly full.
 
         Failure: each node sends requests to a replica by counts as old as
-        a heartbeat; together they send it half as many again as it bears.
-        In a large fleet counts go through relays, which keep their pace.
+        a heartbeat; together they send it half as many again as it can
+        serve. In a large fleet the counts go through relays, which keep
+        their interval.
         """
         if self._presence.is_full_mesh:
-            self._heartbeats.hurry(_PRESSED_INTERVAL)
+            self._heartbeats.send_soon(_HIGH_LOAD_INTERVAL)
 
     def tell_change(self) -> None:
-        """Have the others fetch what is new without waiting their turn."""
-        self._heartbeats.hurry()
+        """Announce a newer configuration at once, so that others fetch it."""
+        self._heartbeats.send_soon()
 
     def tell_list(self) -> None:
-        """Tell of a newer list, where others wait for it.
+        """Announce a newer list of instances at once, for nodes that follow.
 
-        A replica that was mended would be used up to a heartbeat later.
+        Failure: a repaired replica gets its first requests up to one
+        heartbeat interval later than it could.
         """
         if self._presence.reads_store(self._now()):
-            self._heartbeats.hurry()
+            self._heartbeats.send_soon()
 
-    def tell_loss(self, life: str) -> None:
-        """Spread the verdict that a leader's replica is not whole."""
+    def tell_loss(self, epoch_id: str) -> None:
+        """Report to all nodes that a leader's replica has lost a member."""
         now = self._now()
-        self._lost[life] = now + _TOLD
-        self._take_loss(life, now)
-        self._heartbeats.hurry()
+        self._lost[epoch_id] = now + _URGENT_REPORT_TTL
+        self._note_loss(epoch_id, now)
+        self._heartbeats.send_soon()
 
-    def tell_slow(self, life: str) -> None:
-        """Spread that a member slows down a leader's replica."""
+    def tell_slow(self, epoch_id: str) -> None:
+        """Report to all nodes that a member slows down a leader's replica."""
         now = self._now()
-        if life not in self._slow:
-            self._heartbeats.hurry()
-        self._slow[life] = now + _SLOW_TOLD
-        self._take_slow(life, now)
+        if epoch_id not in self._slow:
+            self._heartbeats.send_soon()
+        self._slow[epoch_id] = now + _SLOW_REPORT_TTL
+        self._note_slow(epoch_id, now)
 
-    def _take_slow(self, life: str, now: float) -> None:
-        parsed = upstreams.parse_life(life)
+    def _note_slow(self, epoch_id: str, now: float) -> None:
+        parsed = upstreams.parse_life(epoch_id)
         if parsed is not None:
             self._balancer.note_slow(*parsed, now)
 
-    def _take_loss(self, life: str, now: float) -> None:
-        parsed = upstreams.parse_life(life)
+    def _note_loss(self, epoch_id: str, now: float) -> None:
+        parsed = upstreams.parse_life(epoch_id)
         if parsed is not None:
             self._balancer.note_loss(*parsed, now)
-            self.give_up(life)
+            self.give_up(epoch_id)
 
 
-def _say_no() -> bool:
+def _is_never_ready() -> bool:
     return False
 
 
@@ -223,10 +237,10 @@
     return
 
 
-def _subtract(
+def _subtract_own(
     total: abc.Mapping[str, int], own: abc.Mapping[str, int]
 ) -> dict[str, int]:
-    """Return the counts of the other nodes."""
+    """Return the counts of the other nodes, without those that are 0."""
     found = {}
     for name, count in total.items():
         others = count - own.get(name, 0)
@@ -235,6 +249,6 @@
     return found
 
 
-def _drop_past(news: dict[str, float], now: float) -> dict[str, float]:
-    """Return the news that is still told."""
-    return {name: until for name, until in news.items() if until > now}
+def _drop_expired(reports: dict[str, float], now: float) -> dict[str, float]:
+    """Return the reports that have not expired."""
+    return {name: until for name, until in reports.items() if until > now}
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -72,23 +72,23 @@
         made = self.make(0.1)
         self.balancer.begin(_HEAD)
         made._compose(1)
-        made._hear(self.digest(0, False, 7))
-        made._hear(self.digest(1, False, 7))
+        made._receive(self.digest(0, False, 7))
+        made._receive(self.digest(1, False, 7))
         self.assertEqual(self.balancer.count_load(_HEAD), 7)
 
     def test_a_member_does_not_add_up_parts(self):
         made = self.make(0.1)
-        made._hear(self.digest(0, False, 7))
-        made._hear(self.digest(1, True, 4))
+        made._receive(self.digest(0, False, 7))
+        made._receive(self.digest(1, True, 4))
         self.assertEqual(self.balancer.count_load(_HEAD), 7)
 
     def test_a_relay_adds_up_those_that_ask_it_first_and_other_parts(self):
         """A replica would look twice as busy as it is, or idle."""
         made = self.make(2.0)
-        made._hear(self.beat(5, RelayRequest.FULL, 2))
-        made._hear(self.beat(6, RelayRequest.WITHOUT_LOADS, 3))
-        made._hear(self.digest(0, True, 4))
-        made._hear(self.digest(0, False, 50, serial=2))
+        made._receive(self.beat(5, RelayRequest.FULL, 2))
+        made._receive(self.beat(6, RelayRequest.WITHOUT_LOADS, 3))
+        made._receive(self.digest(0, True, 4))
+        made._receive(self.digest(0, False, 50, serial=2))
         self.assertEqual(self.balancer.count_load(_HEAD), 6)
 
     def test_attempts_at_a_mended_replica_outlive_an_old_verdict(self):
@@ -99,14 +99,14 @@
         beat = msgspec.structs.replace(
             self.beat(5, RelayRequest.NONE, 0), lost=(f"{_HEAD}@3", "foreign")
         )
-        made._hear(beat)
+        made._receive(beat)
         self.assertEqual(ended, [f"{_HEAD}@3"])
 
     def test_a_slow_replica_is_told_to_all(self):
         made = self.make(0.1)
         self.balancer.note_slow = mock.Mock()
         beat = self.beat(5, RelayRequest.NONE, 0)
-        made._hear(msgspec.structs.replace(beat, slow=(f"{_HEAD}@3",)))
+        made._receive(msgspec.structs.replace(beat, slow=(f"{_HEAD}@3",)))
         self.balancer.note_slow.assert_called_once_with(_HEAD, 3, 10.0)
         made.tell_slow("i9@4")
         made._relay = mock.Mock()
