--- a/currantwall/gateway.py
+++ b/currantwall/gateway.py
@@ -157,9 +157,9 @@
         self._stopped = eventlet.event.Event()
         self._front = self._make_ingress(self._forwarder.serve)
 
-    def _make_news(self) -> news.News:
+    def _make_news(self) -> news.NewsExchange:
         """Return what exchanges news, known to those who have some."""
-        made = news.News(
+        made = news.NewsExchange(
             self._settings.heartbeats,
             self._presence,
             self._balancer,
@@ -172,13 +172,13 @@
             self._clock,
         )
         made.is_ready = lambda: self._is_ready
-        made.give_up = self._sender.give_up
-        self._sender.on_doubt = made.tell_doubt
-        self._queue.on_pressure = made.tell_loads
-        self._duties.on_loss = made.tell_loss
-        self._duties.on_slow = made.tell_slow
-        self._configuration.on_change = made.tell_change
-        self._fleet_feed.on_change = made.tell_list
+        made.abort_attempts = self._sender.give_up
+        self._sender.on_doubt = made.report_stall
+        self._queue.on_pressure = made.report_high_load
+        self._duties.on_loss = made.announce_loss
+        self._duties.on_slow = made.announce_slow
+        self._configuration.on_change = made.announce_configuration
+        self._fleet_feed.on_change = made.announce_list
         return made
 
     # -- Serving
--- a/currantwall/transport/news.py
+++ b/currantwall/transport/news.py
@@ -20,7 +20,7 @@
 from currantwall.transport import metrics as metrics_module
 from currantwall.transport import timers
 
-__all__ = ["News"]
+__all__ = ["NewsExchange"]
 
 # Seconds for which an urgent report is part of each heartbeat: that makes
 # two heartbeats.
@@ -35,7 +35,7 @@
 _ALL_NODES = ids.NodeId("")
 
 
-class News:
+class NewsExchange:
     """Exchanges heartbeats, digests and alarms with the other nodes.
 
     Attributes:
@@ -73,7 +73,7 @@
         self.run_sender = self._heartbeats.run_sender
         self.send = self._heartbeats.send
         self.is_ready: abc.Callable[[], bool] = _is_never_ready
-        self.give_up: abc.Callable[[str], None] = _ignore
+        self.abort_attempts: abc.Callable[[str], None] = _ignore
         # What the next heartbeats report, and until when.
         self._stalled: dict[str, float] = {}
         self._lost: dict[str, float] = {}
@@ -162,7 +162,7 @@
         for name in stalled:
             self._duties.suspect(ids.InstanceId(name))
 
-    def tell_doubt(self, instance: ids.InstanceId) -> None:
+    def report_stall(self, instance: ids.InstanceId) -> None:
         """Have a stalled upstream probed by the node that probes its domain.
 
         Args:
@@ -178,7 +178,7 @@
             alarm = digests.Alarm((instance,))
             self._heartbeats.send_one(digests.Datagram((prober,), alarm))
 
-    def tell_loads(self) -> None:
+    def report_high_load(self) -> None:
         """Send this node's counts sooner while replicas are nearly full.
 
         Failure: each node sends requests to a replica by counts as old as
@@ -189,11 +189,11 @@
         if self._presence.is_full_mesh:
             self._heartbeats.send_soon(_HIGH_LOAD_INTERVAL)
 
-    def tell_change(self) -> None:
+    def announce_configuration(self) -> None:
         """Announce a newer configuration at once, so that others fetch it."""
         self._heartbeats.send_soon()
 
-    def tell_list(self) -> None:
+    def announce_list(self) -> None:
         """Announce a newer list of instances at once, for nodes that follow.
 
         Failure: a repaired replica gets its first requests up to one
@@ -202,14 +202,14 @@
         if self._presence.reads_store(self._now()):
             self._heartbeats.send_soon()
 
-    def tell_loss(self, epoch_id: str) -> None:
+    def announce_loss(self, epoch_id: str) -> None:
         """Report to all nodes that a leader's replica has lost a member."""
         now = self._now()
         self._lost[epoch_id] = now + _URGENT_REPORT_TTL
         self._note_loss(epoch_id, now)
         self._heartbeats.send_soon()
 
-    def tell_slow(self, epoch_id: str) -> None:
+    def announce_slow(self, epoch_id: str) -> None:
         """Report to all nodes that a member slows down a leader's replica."""
         now = self._now()
         if epoch_id not in self._slow:
@@ -226,7 +226,7 @@
         parsed = upstreams.parse_life(epoch_id)
         if parsed is not None:
             self._balancer.note_loss(*parsed, now)
-            self.give_up(epoch_id)
+            self.abort_attempts(epoch_id)
 
 
 def _is_never_ready() -> bool:
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -34,7 +34,7 @@
         )
         clock = mock.Mock(now=lambda: 10.0)
         with mock.patch.object(news.heartbeats, "Heartbeats"):
-            made = news.News(
+            made = news.NewsExchange(
                 "a:1",
                 presence,
                 self.balancer,
@@ -95,7 +95,7 @@
         """Streams were cut and begun again at the replica just mended."""
         made = self.make(0.1)
         ended = []
-        made.give_up = ended.append
+        made.abort_attempts = ended.append
         beat = msgspec.structs.replace(
             self.beat(5, RelayRequest.NONE, 0), lost=(f"{_HEAD}@3", "foreign")
         )
@@ -108,7 +108,7 @@
         beat = self.beat(5, RelayRequest.NONE, 0)
         made._receive(msgspec.structs.replace(beat, slow=(f"{_HEAD}@3",)))
         self.balancer.note_slow.assert_called_once_with(_HEAD, 3, 10.0)
-        made.tell_slow("i9@4")
+        made.announce_slow("i9@4")
         made._relay = mock.Mock()
         made._compose(1)
         (own, _) = made._relay.list_datagrams.call_args.args
@@ -118,7 +118,7 @@
         """A stalled replica would be looked at half a second later."""
         made = self.make(0.1)
         made._duties.find_prober.return_value = ids.NodeId("n9")
-        made.tell_doubt(_HEAD)
+        made.report_stall(_HEAD)
         (datagram,) = made._heartbeats.send_one.call_args.args
         self.assertEqual([one.id for one in datagram.to], ["n9"])
         self.assertEqual(datagram.message.stalled, (_HEAD,))
