--- a/currantwall/transport/links.py
+++ b/currantwall/transport/links.py
@@ -1,9 +1,9 @@
-"""Peer links: one pull socket to hear, one push socket for each peer.
+"""Peer links: a pull socket to receive, and a push socket for each peer.
 
-pynng's own waiting would block eventlet's hub, so the sockets are used
-without blocking and the hub waits on their file descriptors. A message
-that cannot be sent at once is dropped and counted: all that travels here
-is soft state that is sent again.
+pynng's blocking calls would block eventlet's hub, so the sockets are used
+in non-blocking mode and the hub waits on the pull socket's file
+descriptor. A message that cannot be sent at once is dropped and counted:
+all messages carry soft state that is sent again.
 """
 
 from collections import abc
@@ -26,14 +26,16 @@
 
 __all__ = ["PeerLinks"]
 
-_RECEIVE_BUFFER = 512
-# Few: a message that waits for a peer to come back is stale by then.
-_SEND_BUFFER = 16
+_RECEIVE_BUFFER_MESSAGES = 512
+# Small, because a message that waits for a peer to come back is stale by
+# then.
+_SEND_BUFFER_MESSAGES = 16
 _RECONNECT_MIN_MS = 100
 _RECONNECT_MAX_MS = 2000
-# Messages read in one go before other tasks get a turn.
-_BURST = 32
-_MESSAGE_LIMIT = 4_194_304
+# Number of messages read before other tasks get a turn.
+_BURST_SIZE = 32
+# Largest message in bytes.
+_MESSAGE_SIZE_LIMIT = 4_194_304
 
 Deliver = abc.Callable[[wire.Envelope], None]
 
@@ -44,7 +46,7 @@
     def __init__(self, address: str) -> None:
         self.address = address
         self.socket = pynng.Push0(
-            send_buffer_size=_SEND_BUFFER,
+            send_buffer_size=_SEND_BUFFER_MESSAGES,
             reconnect_time_min=_RECONNECT_MIN_MS,
             reconnect_time_max=_RECONNECT_MAX_MS,
         )
@@ -76,14 +78,19 @@
         self._socket: pynng.Pull0 | None = None
 
     def listen(self) -> None:
-        """Open the pull socket; raises pynng.NNGException."""
+        """Open the pull socket.
+
+        Raises:
+            pynng.NNGException: The address cannot be used.
+        """
         self._socket = pynng.Pull0(
-            recv_buffer_size=_RECEIVE_BUFFER, recv_max_size=_MESSAGE_LIMIT
+            recv_buffer_size=_RECEIVE_BUFFER_MESSAGES,
+            recv_max_size=_MESSAGE_SIZE_LIMIT,
         )
         self._socket.listen(f"tcp://{self._address}")
 
     def run(self, deliver: Deliver) -> None:
-        """Hand every envelope to `deliver` until `close` is called."""
+        """Pass each received envelope to `deliver` until `close` is called."""
         assert self._socket is not None
         self._running = True
         descriptor = self._socket.recv_fd
@@ -110,12 +117,12 @@
                 data = self._socket.recv(block=False)
             except pynng.TryAgain:
                 return
-            self._open(data, deliver)
+            self._receive(data, deliver)
             count += 1
-            if count % _BURST == 0:
+            if count % _BURST_SIZE == 0:
                 eventlet.sleep(0)
 
-    def _open(self, data: bytes, deliver: Deliver) -> None:
+    def _receive(self, data: bytes, deliver: Deliver) -> None:
         self._meter.add("currantwall.peers.received_bytes", len(data))
         self._meter.add("currantwall.peers.received", 1)
         outcome = self._codec.decode(data)
@@ -129,7 +136,7 @@
 
     @coordinator.performs(actions.Send)
     def send(self, action: actions.Send) -> None:
-        """Send a body to a node; drops it if that cannot be done now."""
+        """Send a body to a node, or drop it if that would block."""
         member = self._nodes.get(action.to)
         if member is None:
             return
@@ -156,17 +163,17 @@
         self._meter.add("currantwall.peers.sent", 1)
 
     def _connect(self, member: members.Member) -> _Peer:
-        held = self._peers.get(member.id)
-        if held is not None and held.address == member.peer_address:
-            return held
-        if held is not None:
-            held.socket.close()
+        existing = self._peers.get(member.id)
+        if existing is not None and existing.address == member.peer_address:
+            return existing
+        if existing is not None:
+            existing.socket.close()
         peer = _Peer(member.peer_address)
         self._peers[member.id] = peer
         return peer
 
     def prune(self) -> None:
-        """Close the sockets to nodes that are forgotten."""
+        """Close the sockets to nodes that are no longer known."""
         for node in list(self._peers):
             if self._nodes.get(node) is None:
                 self._peers.pop(node).socket.close()
@@ -181,9 +188,9 @@
             body=body,
         )
         data = self._codec.encode(envelope)
-        for place, address in enumerate(self._seeds):
+        for index, address in enumerate(self._seeds):
             if address == self._address:
                 continue
-            name = ids.NodeId(f"seed:{place}")
+            name = ids.NodeId(f"seed:{index}")
             peer = self._peers.setdefault(name, _Peer(address))
             self._push(peer, data)
--- a/currantwall/transport/operators.py
+++ b/currantwall/transport/operators.py
@@ -1,4 +1,4 @@
-"""Requests of operators, health checks and the scrape page."""
+"""Handlers for operators' requests, health checks and metrics."""
 
 from collections import abc
 import functools
@@ -28,6 +28,7 @@
 
 Response = http_protocol.Response
 Handler = abc.Callable[..., Response]
+# Seconds to wait for the result of an edit beyond its own deadline.
 _EDIT_SLACK = 5.0
 _EDIT_STATUSES = {
     edits.EditOutcome.ACCEPTED: http.HTTPStatus.OK,
@@ -39,7 +40,7 @@
 
 
 def _signed(handler: Handler) -> Handler:
-    """Let only calls through that carry the operators' signature."""
+    """Decorate a handler to refuse requests without a valid signature."""
 
     @functools.wraps(handler)
     def check(self: "OperatorHandlers", request: server.Request) -> Response:
@@ -50,7 +51,11 @@
 
 
 class OperatorHandlers(server.Handlers):
-    """Answers operators."""
+    """Handles operators' requests, health checks and metrics.
+
+    Attributes:
+        is_leaving: Whether the process is stopping, and not ready any more.
+    """
 
     def __init__(
         self,
@@ -70,12 +75,12 @@
 
     @server.route("GET", r"/healthz")
     def check_health(self, request: server.Request) -> Response:
-        """Say that the process runs."""
+        """Answer that the process is running."""
         return Response(http.HTTPStatus.OK, (), b"ok\n")
 
     @server.route("GET", r"/readyz")
     def check_ready(self, request: server.Request) -> Response:
-        """Say whether the process may be given requests."""
+        """Answer whether the process takes requests."""
         if self._core.node.is_ready and not self.is_leaving:
             return Response(http.HTTPStatus.OK, (), b"ready\n")
         status = http.HTTPStatus.SERVICE_UNAVAILABLE
@@ -83,18 +88,23 @@
 
     @server.route("GET", r"/metrics")
     def render_metrics(self, request: server.Request) -> Response:
-        """Return the scrape page."""
+        """Return the metrics for a scrape."""
         headers = (("Content-Type", "text/plain; version=0.0.4"),)
         return Response(http.HTTPStatus.OK, headers, self._meter.render())
 
     # -- Signatures
 
     def check_signature(self, request: server.Request) -> Response | None:
-        """Return the refusal of a call that is not signed rightly."""
+        """Check the signature of a request.
+
+        Returns:
+            The response that refuses the request; None if the signature is
+            valid or no key is configured.
+        """
         if not self._key:
             return None
         value = request.headers.get(signing.HEADER.lower(), "")
-        right = signing.verify(
+        is_valid = signing.verify(
             self._key,
             value,
             self._clock.wall(),
@@ -102,7 +112,7 @@
             request.target,
             request.body,
         )
-        if right:
+        if is_valid:
             return None
         self._meter.add("currantwall.operators.refused", 1)
         status = http.HTTPStatus.UNAUTHORIZED
@@ -124,7 +134,7 @@
     @server.route("GET", r"/v1/admin/profiles/(?P<name>[^/]+)")
     @_signed
     def show_profile(self, request: server.Request) -> Response:
-        """Return one profile; version 0 when there is none."""
+        """Return one profile, or version 0 if there is none."""
         return http_protocol.make_json(
             self._view_profile(request.words["name"])
         )
@@ -171,13 +181,13 @@
     @server.route("PUT", r"/v1/admin/stops/(?P<name>[^/]+)")
     @_signed
     def put_stop(self, request: server.Request) -> Response:
-        """Plan a stop."""
+        """Plan a stop, if it is still at the expected version."""
         return self._edit(request, objects.Kind.STOPS, stops.Stop)
 
     @server.route("DELETE", r"/v1/admin/stops/(?P<name>[^/]+)")
     @_signed
     def delete_stop(self, request: server.Request) -> Response:
-        """Cancel a stop."""
+        """Cancel a stop, if it is still at the expected version."""
         return self._edit(request, objects.Kind.STOPS, None)
 
     # -- Forecast
@@ -185,7 +195,7 @@
     @server.route("GET", r"/v1/admin/forecast")
     @_signed
     def show_forecast_basis(self, request: server.Request) -> Response:
-        """Return what the forecast rests on."""
+        """Return the data from which operators' tools compute the forecast."""
         node = self._core.node
         each = max(
             (one.accelerators for one in node.view.instances.values()),
@@ -245,12 +255,12 @@
         status = _EDIT_STATUSES[answer.outcome]
         return http_protocol.make_json(body, status)
 
-    # -- Status and time line
+    # -- Status and timeline
 
     @server.route("GET", r"/v1/admin/status")
     @_signed
     def show_status(self, request: server.Request) -> Response:
-        """Return what this node knows."""
+        """Return the state of the system as this node knows it."""
         node = self._core.node
         body = operators.Status(
             node=node.nodes.me.id,
@@ -299,7 +309,7 @@
     @server.route("GET", r"/v1/admin/timeline")
     @_signed
     def show_timeline(self, request: server.Request) -> Response:
-        """Return the events of this process after a stamp."""
+        """Return the events of this process, all or those after a stamp."""
         since: typing.Any = request.query.get("since", "")
         stamp = None
         if since.isdecimal():
@@ -313,7 +323,7 @@
 def _check_value(
     request: server.Request, struct: type[msgspec.Struct]
 ) -> bytes | Response:
-    """Return the stored form of a request's body, or the refusal."""
+    """Return the stored form of a request's body, or an error response."""
     name = request.words["name"]
     status = http.HTTPStatus.BAD_REQUEST
     try:
--- a/currantwall/transport/platform.py
+++ b/currantwall/transport/platform.py
@@ -1,4 +1,8 @@
-"""Calls to the platform: each in a green thread, its end a message."""
+"""Client of the platform.
+
+Each call runs in a green thread of its own, and its result is passed to
+the node as a message.
+"""
 
 from collections import abc
 
@@ -22,7 +26,9 @@
 Tell = abc.Callable[[part.Message], None]
 
 _NOT_FOUND = 404
+# Connections that are kept open.
 _POOL_SIZE = 16
+# Seconds that a watch's answer may take beyond the watch timeout.
 _WATCH_SLACK = 5.0
 _KINDS = ",".join(kind.value for kind in objects.WATCHED)
 
@@ -52,50 +58,54 @@
 
     @coordinator.performs(actions.WriteObject)
     def write(self, action: actions.WriteObject) -> None:
-        """Write or delete one object on its condition."""
+        """Write or delete one object if it has the expected version."""
         eventlet.spawn_n(self._write, action)
 
     @coordinator.performs(actions.ListObjects)
     def list_objects(self, action: actions.ListObjects) -> None:
         """Read all objects of the watched kinds."""
         path = f"/v1/objects?kinds={_KINDS}"
-        eventlet.spawn_n(self._list, action.call, path, "list", True)
+        eventlet.spawn_n(self._fetch_objects, action.call, path, "list", True)
 
     @coordinator.performs(actions.WatchObjects)
     def watch(self, action: actions.WatchObjects) -> None:
-        """Wait for changes."""
+        """Wait for changes of the watched kinds."""
         timeout = self._settings.watch_timeout
         path = (
             f"/v1/watch?kinds={_KINDS}&since={action.since}&timeout={timeout}"
         )
-        eventlet.spawn_n(self._list, action.call, path, "watch", False)
+        eventlet.spawn_n(
+            self._fetch_objects, action.call, path, "watch", False
+        )
 
     @coordinator.performs(actions.ListInstances)
     def list_instances(self, action: actions.ListInstances) -> None:
         """Read the instance list."""
-        eventlet.spawn_n(self._instances, action)
+        eventlet.spawn_n(self._fetch_instances, action)
 
-    # -- Their work
+    # -- Green threads of the actions
 
     def _read(self, action: actions.ReadObject) -> None:
-        status, data, version = self._call("GET", _path(action.key), "read")
+        status, data, version = self._call(
+            "GET", _make_path(action.key), "read"
+        )
         stored: tuple[objects.Stored, ...] = ()
         if status is Status.OK:
             stored = (objects.Stored(action.key, version, data),)
-        self._answer(action.call, status, stored, version)
+        self._send_answer(action.call, status, stored, version)
 
     def _write(self, action: actions.WriteObject) -> None:
         method = "PUT" if action.value else "DELETE"
-        path = f"{_path(action.key)}?expected={action.expected}"
+        path = f"{_make_path(action.key)}?expected={action.expected}"
         status, _, version = self._call(
             method, path, "write", action.value or None
         )
         stored: tuple[objects.Stored, ...] = ()
         if status is Status.OK:
             stored = (objects.Stored(action.key, version, action.value),)
-        self._answer(action.call, status, stored, version)
+        self._send_answer(action.call, status, stored, version)
 
-    def _list(
+    def _fetch_objects(
         self, call: ids.CallId, path: str, kind: str, complete: bool
     ) -> None:
         wait = None if complete else self._settings.watch_timeout
@@ -107,9 +117,9 @@
                 revision, stored = platform.decode_listing(data)
             except msgspec.MsgspecError:
                 status = Status.LOST
-        self._answer(call, status, stored, revision, complete)
+        self._send_answer(call, status, stored, revision, complete)
 
-    def _instances(self, action: actions.ListInstances) -> None:
+    def _fetch_instances(self, action: actions.ListInstances) -> None:
         path = f"/v1/instances?since={action.since}"
         status, data, _ = self._call("GET", path, "instances")
         if status is Status.OK and not data:
@@ -127,7 +137,7 @@
                 status = Status.LOST
         self._tell(messages.InstancesListed(action.call, status))
 
-    def _answer(
+    def _send_answer(
         self,
         call: ids.CallId,
         status: messages.PlatformStatus,
@@ -147,11 +157,23 @@
         body: bytes | None = None,
         wait: float | None = None,
     ) -> tuple[messages.PlatformStatus, bytes, ids.Version]:
-        """Make one call and say what became of it."""
+        """Make one call.
+
+        Args:
+            method: The HTTP method.
+            path: Path and query.
+            kind: Kind of the call, for the metrics.
+            body: Body of the request, if any.
+            wait: Seconds that the platform may hold a watch; None for
+                other calls.
+
+        Returns:
+            The status, the body of the answer and the object's version.
+        """
         self._meter.add(actions.Counter.PLATFORM_CALLS.value, 1, kind)
-        limit = self._settings.timeout
-        read = limit if wait is None else wait + _WATCH_SLACK
-        timeout = urllib3.Timeout(connect=limit, read=read)
+        call_timeout = self._settings.timeout
+        read = call_timeout if wait is None else wait + _WATCH_SLACK
+        timeout = urllib3.Timeout(connect=call_timeout, read=read)
         try:
             response = self._pool.request(
                 method,
@@ -171,7 +193,7 @@
         return status, response.data, ids.Version(int(version))
 
 
-def _path(key: objects.ObjectKey) -> str:
+def _make_path(key: objects.ObjectKey) -> str:
     return f"/v1/objects/{key.kind}/{key.name}"
 
 
@@ -184,5 +206,6 @@
         return Status.EXPIRED
     if status == _NOT_FOUND:
         return Status.NOT_FOUND
-    # A server error says nothing about whether the write took effect.
+    # After any other status, such as a server error, a write may or may
+    # not have taken effect.
     return Status.LOST
--- a/currantwall/transport/ports.py
+++ b/currantwall/transport/ports.py
@@ -1,4 +1,4 @@
-"""What the product needs of a platform, for an adapter to provide."""
+"""Interfaces to the platform, which an adapter implements."""
 
 from collections import abc
 import enum
@@ -24,14 +24,14 @@
 class StoreFailure(enum.Enum):
     """Why a call to the store did not succeed."""
 
-    # Nothing was done; a later call may succeed.
+    # The call had no effect; a later one may succeed.
     UNAVAILABLE = "unavailable"
-    # No answer: the call may have been carried out, or will be.
+    # No answer came: the call may have taken effect, or still may.
     LOST = "lost"
     # The object has another revision.
     CONFLICT = "conflict"
     NOT_FOUND = "not_found"
-    # The history that a watch wants is gone.
+    # The store no longer has the history that a watch asks for.
     EXPIRED = "expired"
 
 
@@ -47,14 +47,16 @@
     """Objects of one kind as of a revision of the store.
 
     Attributes:
-        removed: Names of objects that are gone.
-        since: Revision whose listing this one changes; 0 where it is
-            whole.
-        changed: Revision at which the objects were last seen to differ
-            from before; set in what nodes pass on.
-        failure_age: Seconds since the store failed to answer, where it has
-            just come back from an outage and objects may be missing whose
-            writers live; else None.
+        objects: All objects, or those changed after `since`.
+        revision: Revision of the store.
+        removed: Names of objects removed after `since`.
+        since: Revision of the listing to which this one holds the changes;
+            0 if it is complete.
+        changed: Revision at which the objects last changed; set only in
+            listings that nodes pass on.
+        failure_age: Seconds since the last failed call of an outage that
+            lasts or has just ended, so that entries of live writers may be
+            missing; else None.
     """
 
     objects: tuple[StoredObject, ...]
@@ -74,7 +76,12 @@
     def list(
         self, kind: str, stale: bool = False
     ) -> result.Result[Listing, StoreFailure]:
-        """Return all objects of a kind, perhaps of seconds ago."""
+        """Return all objects of a kind.
+
+        Args:
+            kind: Kind of the objects.
+            stale: Whether the result may be some seconds old.
+        """
         raise NotImplementedError
 
     def get(self, kind: str, name: str) -> Outcome:
@@ -84,7 +91,13 @@
     def watch(
         self, kind: str, since: int, wait: float
     ) -> result.Result[Listing, StoreFailure]:
-        """Return what changed after a revision, or nothing in time."""
+        """Return what changed after a revision, as soon as anything has.
+
+        Args:
+            kind: Kind of the objects.
+            since: The revision.
+            wait: Seconds after which an empty listing is returned.
+        """
         raise NotImplementedError
 
     def put(
@@ -96,37 +109,40 @@
             kind: Kind of the object.
             name: Name of the object.
             value: Content as JSON.
-            revision: What the object must have; 0 to create it; None to
-                write in any case.
+            revision: Revision that the object must have; 0 to create it;
+                None to write unconditionally.
         """
         raise NotImplementedError
 
     def delete(self, kind: str, name: str) -> None:
-        """Remove an object, if the store can be reached."""
+        """Delete an object; does nothing if the store is unreachable."""
         raise NotImplementedError
 
 
 class Engines(typing.Protocol):
-    """The orders and reports of engine instances."""
+    """Sends orders and probes to engine instances."""
 
     def report(
         self, upstream: upstreams.Upstream, fresh: bool
     ) -> upstreams.Upstream | knowledge.ProbeResult:
-        """Return what an instance says of itself, or how it failed.
+        """Probe an instance.
 
         Args:
             upstream: The instance.
-            fresh: Whether to ask over a new connection.
+            fresh: Whether to use a new connection.
+
+        Returns:
+            The instance as it reports itself, or how the probe failed.
         """
         raise NotImplementedError
 
     def order(self, order: knowledge.Order) -> knowledge.OrderAnswer:
-        """Send an order and return how it was answered."""
+        """Send an order and return its answer."""
         raise NotImplementedError
 
 
 class Documents(typing.Protocol):
-    """What the platform and its instances write into the store."""
+    """Formats of what the platform and its instances write."""
 
     configuration_kind: str
     configuration_name: str
@@ -135,17 +151,22 @@
     def decode_configuration(
         self, value: bytes
     ) -> result.Result[routes.Configuration, str]:
-        """Return the operator's configuration, or what is wrong."""
+        """Return the operator's configuration, or why it is invalid."""
         raise NotImplementedError
 
     def encode_addresses(
         self, addresses: abc.Sequence[str], ttl: float
     ) -> bytes:
-        """Return the answer to a caller that asks where to connect."""
+        """Encode the answer to a caller that asks where to connect.
+
+        Args:
+            addresses: Addresses of nodes that take requests.
+            ttl: Seconds for which the caller may use them.
+        """
         raise NotImplementedError
 
     def decode_upstreams(
         self, objects: abc.Iterable[StoredObject]
     ) -> list[upstreams.Upstream]:
-        """Return the instances in readable entries, others left out."""
+        """Return the instances of the readable entries."""
         raise NotImplementedError
--- a/currantwall/transport/registrations.py
+++ b/currantwall/transport/registrations.py
@@ -1,4 +1,4 @@
-"""Registers this node in the store and reads who else is registered."""
+"""Registers this node in the store and reads the list of all nodes."""
 
 import eventlet
 import msgspec
@@ -13,18 +13,18 @@
 
 NODES_KIND = "currantwall-nodes"
 # Seconds between two reads of the list.
-_NODES_INTERVAL = 2.0
-# The same for nodes that don't read the store for others: they need the
-# list only to know how to reach those they hear of.
-_NODES_INTERVAL_OTHERS = 8.0
-# The same where a node is heard of that is not listed here.
-_NODES_SOON = 1.0
-# Seconds between two looks at whether the list is due.
-_LOOK_INTERVAL = 0.25
+_READ_INTERVAL = 2.0
+# The same on nodes that do not read the store for others: they need the
+# list only for the addresses of nodes that others report.
+_FOLLOWER_READ_INTERVAL = 8.0
+# The same while another node reports a node that is missing from the list.
+_UNKNOWN_NODE_READ_INTERVAL = 1.0
+# Seconds between two checks whether the list is due to be read.
+_CHECK_INTERVAL = 0.25
 
 
 class NodesFeed:
-    """Registers this node and reads who else is registered."""
+    """Registers this node and keeps the list of nodes up to date."""
 
     def __init__(
         self,
@@ -40,41 +40,41 @@
         self._registered = False
 
     def run(self) -> None:
-        """Register once, then read the list for ever."""
+        """Register this node, then read the list forever."""
         decoder = msgspec.json.Decoder(presence_module.NodeEntry)
         while True:
             if not self._registered:
                 self._register()
             listed = self._store.list(NODES_KIND, self._registered)
             if isinstance(listed, result.Ok):
-                self._take(listed.ok_value, decoder)
+                self._apply_list(listed.ok_value, decoder)
             self._wait()
 
     def _wait(self) -> None:
-        """Wait until the list is to be read again."""
+        """Wait until the list is due to be read again."""
         since = self._clock.now()
         while True:
-            eventlet.sleep(_LOOK_INTERVAL)
+            eventlet.sleep(_CHECK_INTERVAL)
             now = self._clock.now()
             reads = self._presence.reads_store(now)
-            wait = _NODES_INTERVAL if reads else _NODES_INTERVAL_OTHERS
+            wait = _READ_INTERVAL if reads else _FOLLOWER_READ_INTERVAL
             if self._presence.has_unknown_nodes:
-                wait = _NODES_SOON
+                wait = _UNKNOWN_NODE_READ_INTERVAL
             if self._presence.count() == 1 or not self._registered:
-                wait = _LOOK_INTERVAL
+                wait = _CHECK_INTERVAL
             if now - since >= wait:
                 return
 
     def _register(self) -> None:
         me = self._presence.me
         value = msgspec.json.encode(me)
-        # Mostly there is none: its last process took it away.
+        # There is usually no entry: the node's last process removed it.
         outcome = self._store.put(NODES_KIND, me.id, value, 0)
         if outcome == result.Err(ports.StoreFailure.CONFLICT):
             outcome = self._store.put(NODES_KIND, me.id, value, None)
         self._registered = isinstance(outcome, result.Ok)
 
-    def _take(
+    def _apply_list(
         self,
         listing: ports.Listing,
         decoder: "msgspec.json.Decoder[presence_module.NodeEntry]",
@@ -90,5 +90,5 @@
         self._presence.note_list(entries, self._clock.now())
 
     def leave(self) -> None:
-        """Take this node off the list."""
+        """Remove this node's entry from the store."""
         self._store.delete(NODES_KIND, self._presence.me.id)
