--- a/currantwall/transport/__init__.py
+++ b/currantwall/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets and clocks: turns actions into I/O and I/O into messages."""
+"""Sockets and clocks: turns actions into I/O, and I/O into messages."""
--- a/currantwall/transport/coordinator.py
+++ b/currantwall/transport/coordinator.py
@@ -1,9 +1,9 @@
-"""The task that owns the node: one message at a time, then its actions.
+"""Passes messages to the node and dispatches the resulting actions.
 
-Performers are objects with methods marked by `performs`; each carries
-out one type of action without blocking, by handing it to a task of its
-own. A step of the node never yields, so whoever calls in from another
-green thread sees whole steps only.
+Performers are objects with methods marked by `performs`. Each such method
+carries out one type of action without blocking; longer work runs in a
+green thread of its own. The node never yields while it handles a message,
+so other green threads never see a half-handled one.
 """
 
 from collections import abc
@@ -21,22 +21,27 @@
 
 __all__ = ["Coordinator", "performs"]
 
-_MARK = "_performed_type"
+# Attribute that `performs` sets on a method.
+_ACTION_TYPE_ATTRIBUTE = "_performed_type"
 Performer = abc.Callable[..., None]
 
 
 def performs(kind: type) -> abc.Callable[[Performer], Performer]:
-    """Register a method for one type of action."""
+    """Mark a method as the performer of one type of action."""
 
     def mark(function: Performer) -> Performer:
-        setattr(function, _MARK, kind)
+        setattr(function, _ACTION_TYPE_ATTRIBUTE, kind)
         return function
 
     return mark
 
 
 class Coordinator:
-    """Feeds the node and hands out its actions."""
+    """Passes messages to the node and dispatches its actions.
+
+    Attributes:
+        node: The node, which decides without any I/O.
+    """
 
     def __init__(
         self,
@@ -53,53 +58,59 @@
         clock.subscribe(node.due, self._tick)
 
     def attach(self, performer: object) -> None:
-        """Register the marked methods of an object."""
+        """Register the methods of an object that `performs` has marked."""
         for name in dir(type(performer)):
-            kind = getattr(getattr(type(performer), name), _MARK, None)
+            kind = getattr(
+                getattr(type(performer), name), _ACTION_TYPE_ATTRIBUTE, None
+            )
             if kind is not None:
                 self._performers[kind] = getattr(performer, name)
 
     def tell(self, message: part.Message) -> None:
-        """Give the node a message and perform what follows."""
+        """Pass a message to the node and perform the resulting actions."""
         now = self._clock.now()
         self.perform(self.node.handle(message, now))
         self._clock.touch()
 
     def receive(self, envelope: wire.Envelope) -> None:
-        """Give the node an envelope from a peer."""
+        """Pass a peer's envelope to the node and perform the actions."""
         now = self._clock.now()
         self.perform(self.node.receive(envelope, now))
         self._clock.touch()
 
     def ask(
         self,
-        make: abc.Callable[[int], part.Message],
+        make_message: abc.Callable[[int], part.Message],
         timeout: float | None = None,
-        give_up: abc.Callable[[int], part.Message] | None = None,
+        make_timeout_message: abc.Callable[[int], part.Message] | None = None,
     ) -> typing.Any:
         """Return the node's reply to a message that carries a ticket.
 
         Args:
-            make: Returns the message for a ticket.
-            timeout: Seconds to wait; then None is returned.
-            give_up: Returns the message that tells the node so.
+            make_message: Returns the message for a ticket.
+            timeout: Seconds to wait for the reply; None for no limit.
+            make_timeout_message: Returns the message that tells the node
+                that nobody waits for the ticket any more.
+
+        Returns:
+            The reply; None if it has not come in time.
         """
         ticket = next(self._tickets)
         self._waiting[ticket] = eventlet.event.Event()
         try:
-            self.tell(make(ticket))
+            self.tell(make_message(ticket))
             if ticket in self._answers:
                 return self._answers.pop(ticket)
             answer = self._waiting[ticket].wait(timeout)
-            if answer is None and give_up is not None:
-                self.tell(give_up(ticket))
+            if answer is None and make_timeout_message is not None:
+                self.tell(make_timeout_message(ticket))
             return answer
         finally:
             del self._waiting[ticket]
             self._answers.pop(ticket, None)
 
     def perform(self, found: abc.Iterable[part.Action]) -> None:
-        """Hand each action to its performer."""
+        """Pass each action to its performer."""
         for action in found:
             self._performers[type(action)](action)
 
--- a/currantwall/transport/counters.py
+++ b/currantwall/transport/counters.py
@@ -1,7 +1,7 @@
-"""Raises the counters that the parts of an entry's node name.
+"""Performs the counting actions of the parts of an entry's node.
 
-Apart from `metrics`, so that a gateway, which has no such parts, need not
-load them.
+Separate from `metrics`, so that a gateway, which has no such parts, need
+not load them.
 """
 
 from currantwall.coordination import actions
@@ -12,12 +12,12 @@
 
 
 class Counters:
-    """Performs what parts ask to be counted."""
+    """Performs `actions.Count`."""
 
     def __init__(self, meter: metrics.Metrics) -> None:
         self._meter = meter
 
     @coordinator.performs(actions.Count)
     def count(self, action: actions.Count) -> None:
-        """Raise the counter an action names."""
+        """Increase the counter that an action names."""
         self._meter.add(action.counter.value, action.amount, action.label)
--- a/currantwall/transport/green.py
+++ b/currantwall/transport/green.py
@@ -1,4 +1,4 @@
-"""Making the standard library cooperative, before anything uses it."""
+"""Patches the standard library for eventlet, before anything uses it."""
 
 from collections import abc
 import contextlib
@@ -10,23 +10,23 @@
 
 
 def patch(threads: bool = True, processes: bool = True) -> None:
-    """Patch sockets, sleeping and, unless told otherwise, the rest.
+    """Patch sockets, sleeping and, by default, threads and processes.
 
-    eventlet says on import that it is in maintenance. docs/STYLE.md
-    tells why it is used all the same; every start need not repeat it.
+    eventlet warns on import that it is in maintenance mode. The warning is
+    suppressed; docs/STYLE.md gives the reasons for using eventlet.
 
     Args:
-        threads: Whether locks are taken while a task waits for the
-            network. A process without threads that holds none then can
-            leave them alone: to exchange those that exist, each object
-            of the process is looked at.
-        processes: Whether waiting for other processes is cooperative. A
-            process that starts none need not load what that takes.
+        threads: Whether to patch threads and locks. Not needed in a process
+            that has no threads and holds no lock while it waits for the
+            network. Skipping it saves time, because replacing the existing
+            locks takes a look at every object of the process.
+        processes: Whether to patch waiting for child processes. A process
+            that starts none need not load the modules for that.
     """
     warnings.filterwarnings("ignore", message=r"\s*Eventlet is deprecated")
     import eventlet
 
-    # With `all`, or naming one module alone would leave out the others.
+    # Without `all`, naming one module would leave out all others.
     eventlet.monkey_patch(
         all=True, thread=threads, subprocess=processes, psycopg=False
     )
@@ -34,10 +34,10 @@
 
 @contextlib.contextmanager
 def hide_asyncio() -> abc.Iterator[None]:
-    """Have imports of asyncio find an empty package meanwhile.
+    """Replace asyncio by an empty package while the context lasts.
 
-    For a process that runs no coroutine: libraries load it for functions
-    that are never called here, which makes each start longer.
+    For a process that runs no coroutines: libraries import asyncio for
+    functions that are never called here, which slows down each start.
     """
     if "asyncio" in sys.modules:
         yield
--- a/currantwall/transport/journal.py
+++ b/currantwall/transport/journal.py
@@ -1,9 +1,9 @@
 """The log of a gateway process: structured lines on standard output.
 
-Failure: whoever reads the output stands still, the pipe fills, and a
-process that blocks on its log serves nobody. Lines therefore wait in a
-bounded buffer that a task of its own empties without blocking; what
-does not fit is dropped and counted, and the count is logged.
+Failure: the reader of the output hangs, the pipe fills up, and a process
+that blocks on its log serves no requests. Lines therefore go to a bounded
+buffer, which a task of its own empties without blocking. Lines that do not
+fit are dropped and counted, and the count is logged.
 """
 
 import collections
@@ -18,26 +18,27 @@
 
 __all__ = ["Journal"]
 
-# Lines that wait to be written; about 0.3 MB.
-_BUFFER_LINES = 1024
-# Lines a second that are kept. A node at its peak writes two lines a
-# request for about 100 requests a second.
-_LINES_PER_SECOND = 300
+# Most lines that the buffer holds; about 0.3 MB.
+_BUFFER_LINES_LIMIT = 1024
+# Most lines that are logged in a second. A node at its peak writes two
+# lines per request at about 100 requests a second.
+_LINES_PER_SECOND_LIMIT = 300
 _STDOUT = 1
-_IDLE_SECONDS = 0.25
+# Seconds between two flushes of the buffer.
+_FLUSH_INTERVAL = 0.25
 
 _write = eventlet.patcher.original("os").write
 
 
 class Journal:
-    """Writes one JSON object a line."""
+    """Logs events as JSON, one object per line."""
 
     def __init__(self, node: str, now: typing.Callable[[], float]) -> None:
         self._now = now
         self._lines: collections.deque[bytes] = collections.deque()
         self._dropped = 0
         self._second = 0
-        self._in_second = 0
+        self._lines_in_second = 0
         self._log = structlog.wrap_logger(
             _Sink(self._append),
             processors=[
@@ -48,14 +49,19 @@
         ).bind(node=node)
 
     def write(self, event: str, **fields: typing.Any) -> None:
-        """Write one line; never blocks and never raises."""
+        """Log one event; never blocks and never raises.
+
+        Args:
+            event: Name of the event.
+            fields: Fields of the line.
+        """
         second = int(self._now())
         if second != self._second:
             self._second = second
-            self._in_second = 0
-        self._in_second += 1
-        full = len(self._lines) >= _BUFFER_LINES
-        if full or self._in_second > _LINES_PER_SECOND:
+            self._lines_in_second = 0
+        self._lines_in_second += 1
+        full = len(self._lines) >= _BUFFER_LINES_LIMIT
+        if full or self._lines_in_second > _LINES_PER_SECOND_LIMIT:
             self._dropped += 1
             return
         if self._dropped:
@@ -64,28 +70,28 @@
         try:
             self._log.msg(event, **fields)
         except (TypeError, ValueError):
-            # A field that JSON cannot hold must not break the caller.
+            # A field that JSON cannot represent must not fail the caller.
             self._dropped += 1
 
     def _append(self, line: str) -> None:
         self._lines.append(line.encode("utf-8", "replace") + b"\n")
 
     def run(self) -> None:
-        """Empty the buffer for ever."""
+        """Flush the buffer forever."""
         os.set_blocking(_STDOUT, False)
         while True:
             self.flush()
-            eventlet.sleep(_IDLE_SECONDS)
+            eventlet.sleep(_FLUSH_INTERVAL)
 
     def flush(self) -> None:
-        """Write what can be written now."""
+        """Write as much of the buffer as is possible without blocking."""
         while self._lines:
             batch = b"".join(self._lines)
             try:
                 sent = _write(_STDOUT, batch)
             except OSError as error:
                 if error.errno != errno.EAGAIN:
-                    # Nobody reads any more; go on serving without a log.
+                    # The reader is gone; go on serving without a log.
                     self._lines.clear()
                 return
             self._lines.clear()
@@ -95,11 +101,11 @@
 
 
 class _Sink:
-    """What structlog calls with a finished line."""
+    """The logger that structlog calls with each rendered line."""
 
     def __init__(self, append: typing.Callable[[str], None]) -> None:
         self._append = append
 
     def msg(self, line: str) -> None:
-        """Take one line."""
+        """Append one line to the buffer."""
         self._append(line)
--- a/currantwall/transport/logs.py
+++ b/currantwall/transport/logs.py
@@ -1,7 +1,7 @@
-"""Structured logs on standard error, and the time line.
+"""Structured logs on standard error, and the timeline.
 
-Lines are written for changes of state only; whatever happens often is
-counted instead.
+Only changes of state are logged; frequent events are counted in metrics
+instead.
 """
 
 import logging
@@ -19,7 +19,7 @@
 
 
 def configure(section: settings_module.NodeSection) -> None:
-    """Set up structlog as the settings say."""
+    """Set up structlog with the format and level of the settings."""
     level = logging.getLevelNamesMapping().get(section.log_level.upper())
     formats = settings_module.LogFormat
     renderer: structlog.typing.Processor = structlog.processors.JSONRenderer()
@@ -39,7 +39,11 @@
 
 
 class Recorder:
-    """Writes events to the time line and the log."""
+    """Writes events to the timeline and the log.
+
+    Attributes:
+        ring: The newest events of this process.
+    """
 
     def __init__(
         self,
@@ -56,7 +60,7 @@
 
     @coordinator.performs(actions.Record)
     def record(self, action: actions.Record) -> None:
-        """Put an event on the time line and write one log line."""
+        """Add an event to the timeline and log it."""
         stamp = self._stamps.advance(int(self._clock.wall() * 1e6))
         event = timeline.Event(
             stamp=stamp,
@@ -73,5 +77,5 @@
                 detail=action.detail,
             )
         except (OSError, ValueError):
-            # Standard error is gone: serving goes on without the log.
+            # Standard error is closed; go on serving without a log.
             return
--- a/currantwall/transport/metrics.py
+++ b/currantwall/transport/metrics.py
@@ -1,11 +1,11 @@
-"""OpenTelemetry instruments and the scrape page.
+"""Counters and histograms, exported through OpenTelemetry.
 
-The library is loaded with the first scrape: it takes 10 MB of a process
-of 35 MB, and on most nodes of most days nobody asks. Until then counts
+The library is loaded at the first scrape: it takes 10 MB of a process of
+35 MB, and on most days most nodes are not scraped. Until then the counts
 and samples are kept here.
 
-A failure here never breaks the caller: an unknown instrument is made on
-first use.
+A call never fails because of an unknown name: each instrument is created
+at its first use.
 """
 
 import collections
@@ -13,11 +13,11 @@
 
 __all__ = ["Metrics"]
 
-_METER = "currantwall"
-# Upper bounds in seconds: from a plain service's answer to the longest
-# time that a caller waits.
-_BUCKETS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 4.0, 8.0)
-# Samples kept between two scrapes; the oldest go first.
+_METER_NAME = "currantwall"
+# Upper bounds of the histograms' buckets in seconds: from the answer time
+# of a plain service to the longest time that a caller waits.
+_BUCKET_BOUNDS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 4.0, 8.0)
+# Most samples kept between two scrapes; the oldest are dropped first.
 _SAMPLES_LIMIT = 8192
 
 
@@ -35,8 +35,8 @@
             collections.deque(maxlen=_SAMPLES_LIMIT)
         )
 
-    def _load(self) -> None:
-        """Load the library with the first scrape."""
+    def _load_library(self) -> None:
+        """Load the library and create the meter, at the first call."""
         if self._meter is not None:
             return
         from opentelemetry.exporter import prometheus
@@ -48,31 +48,44 @@
             disable_target_info=True, registry=self._registry
         )
         provider = sdk.MeterProvider(metric_readers=[reader])
-        self._meter = provider.get_meter(_METER)
+        self._meter = provider.get_meter(_METER_NAME)
 
     def add(self, name: str, amount: int, label: str = "") -> None:
-        """Raise a counter."""
+        """Increase a counter.
+
+        Args:
+            name: Name of the metric.
+            amount: By how much.
+            label: Value of the label `kind`; empty for no label.
+        """
         key = (name, label)
         self._pending[key] = self._pending.get(key, 0) + amount
 
     def observe(self, name: str, value: float, label: str = "") -> None:
-        """Put a value into a histogram, in seconds."""
+        """Record a value in a histogram.
+
+        Args:
+            name: Name of the metric.
+            value: The value in seconds.
+            label: Value of the label `kind`; empty for no label.
+        """
         self._samples.append((name, label, value))
 
     def flush(self) -> None:
-        """Hand the counts gathered so far to the library.
+        """Pass the collected counts and samples to the library.
 
-        Counting happens on the request path; the library's own counters
-        cost ten times a dictionary entry.
+        They are collected here because counting is on the path of each
+        request, and the library's counters cost ten times as much as a
+        dictionary entry.
         """
-        self._load()
+        self._load_library()
         pending, self._pending = self._pending, {}
         for (name, label), amount in pending.items():
             counter = self._counters.get(name)
             if counter is None:
                 counter = self._meter.create_counter(name)
                 self._counters[name] = counter
-            counter.add(amount, _describe(label))
+            counter.add(amount, _make_attributes(label))
         while self._samples:
             name, label, value = self._samples.popleft()
             histogram = self._histograms.get(name)
@@ -80,18 +93,18 @@
                 histogram = self._meter.create_histogram(
                     name,
                     unit="s",
-                    explicit_bucket_boundaries_advisory=_BUCKETS,
+                    explicit_bucket_boundaries_advisory=_BUCKET_BOUNDS,
                 )
                 self._histograms[name] = histogram
-            histogram.record(value, _describe(label))
+            histogram.record(value, _make_attributes(label))
 
     def render(self) -> bytes:
-        """Return the scrape page."""
+        """Return all metrics in the Prometheus text format."""
         self.flush()
         import prometheus_client
 
         return prometheus_client.generate_latest(self._registry)
 
 
-def _describe(label: str) -> dict[str, str]:
+def _make_attributes(label: str) -> dict[str, str]:
     return {"kind": label} if label else {}
--- a/currantwall/transport/sockets.py
+++ b/currantwall/transport/sockets.py
@@ -1,8 +1,8 @@
-"""Sockets that tell a reset from an end.
+"""Sockets that distinguish a reset from an orderly end.
 
-Failure: eventlet's sockets report a connection that was reset as one
-that ended. An answer without a length ends with its connection, so one
-that an upstream broke off would be passed on as whole.
+Failure: eventlet's sockets report a connection that was reset as one that
+was closed. An answer without a length ends when its connection is closed,
+so a truncated answer would be passed on as a complete one.
 """
 
 import errno
@@ -14,10 +14,10 @@
 
 
 class ResetAwareSocket(greenio.GreenSocket):
-    """Raises `ConnectionAbortedError` where the peer has reset.
+    """Raises `ConnectionAbortedError` if the peer has reset the connection.
 
-    Takes over a connected socket of eventlet's, which it keeps: that one
-    closes the connection when it is collected.
+    Uses the connection of another eventlet socket and holds a reference to
+    that socket, which would close the connection when garbage-collected.
     """
 
     def __init__(self, connected: typing.Any) -> None:
@@ -27,7 +27,14 @@
     def recv_into(
         self, buffer: typing.Any, nbytes: int = 0, flags: int = 0
     ) -> int:
-        """Receive into a buffer; 0 means that the peer has ended."""
+        """Receive into a buffer.
+
+        Returns:
+            The number of bytes; 0 if the peer has closed the connection.
+
+        Raises:
+            ConnectionAbortedError: The peer has reset the connection.
+        """
         received = self._recv_loop(
             self._receive_into, 0, buffer, nbytes, flags
         )
@@ -37,7 +44,8 @@
         try:
             return typing.cast("int", self.fd.recv_into(*args))
         except ConnectionResetError as error:
-            # Another error number: eventlet takes this one for an end.
+            # Change the error number: eventlet treats ECONNRESET as an
+            # orderly end.
             raise ConnectionAbortedError(
                 errno.ECONNABORTED, "reset by peer"
             ) from error
--- a/currantwall/transport/timers.py
+++ b/currantwall/transport/timers.py
@@ -1,7 +1,8 @@
-"""The timer service: tells subscribers when their time has come.
+"""Timer service: calls subscribers at the times they ask for.
 
-One task sleeps until the earliest time anybody wants. A change is looked
-at after a short delay, so that a burst of messages costs one look.
+One green thread sleeps until the earliest of these times. After a change
+it checks the times with a short delay, so that a burst of messages causes
+a single check.
 """
 
 from collections import abc
@@ -13,25 +14,31 @@
 
 __all__ = ["TimerService"]
 
-# Between a change and the look at it.
-_LOOK_DELAY = 0.01
-# After a tick that failed, so that a lasting bug does not spin.
-_FAILED_DELAY = 0.1
-# The longest sleep; a bound on how long a forgotten touch is felt.
-_LONGEST = 1.0
+# Seconds between a change and the check of the subscribers' times.
+_CHECK_DELAY = 0.01
+# Seconds to wait after a tick that raised, so that a persistent bug does
+# not cause a busy loop.
+_FAILURE_DELAY = 0.1
+# Longest sleep in seconds; limits the delay if a call of `touch` is
+# missing.
+_MAX_SLEEP = 1.0
 
 Due = abc.Callable[[], float | None]
 Tick = abc.Callable[[], None]
 
 
 class TimerService:
-    """Calls subscribers at the times they ask for."""
+    """Calls subscribers at the times they ask for.
+
+    Attributes:
+        longest_tick: Seconds that the longest call of a subscriber took.
+    """
 
     def __init__(self) -> None:
         self._subscribers: list[tuple[Due, Tick]] = []
-        self._touched = eventlet.event.Event()
+        self._touch_event = eventlet.event.Event()
         self._running = False
-        self.longest_turn = 0.0
+        self.longest_tick = 0.0
 
     @staticmethod
     def now() -> float:
@@ -48,22 +55,22 @@
         self._subscribers.append((due, tick))
 
     def touch(self) -> None:
-        """Have a look at the subscribers' times soon."""
-        if not self._touched.ready():
-            self._touched.send(None)
+        """Check the subscribers' times soon, as one may have changed."""
+        if not self._touch_event.ready():
+            self._touch_event.send(None)
 
     def run(self) -> None:
         """Serve the subscribers until `stop` is called."""
         self._running = True
         while self._running:
-            earliest = self.now() + _LONGEST
+            earliest = self.now() + _MAX_SLEEP
             for due, tick in self._subscribers:
-                at = due()
-                if at is not None and at <= self.now():
+                due_at = due()
+                if due_at is not None and due_at <= self.now():
                     self._call(tick)
-                    at = due()
-                if at is not None:
-                    earliest = min(earliest, at)
+                    due_at = due()
+                if due_at is not None:
+                    earliest = min(earliest, due_at)
             self._wait(earliest)
 
     def stop(self) -> None:
@@ -76,20 +83,21 @@
         try:
             tick()
         except Exception:
-            # Failure: one part's bug ends this task, and with it all
-            # probing, leases and ages, while requests are still taken.
-            # The others go on; the log says where it was.
+            # Failure: a bug in one part ends this task, and with it all
+            # probes, leases and expiries, while the process still takes
+            # requests. The other subscribers go on; the log holds the
+            # traceback.
             structlog.get_logger().exception("tick_failed")
-            eventlet.sleep(_FAILED_DELAY)
+            eventlet.sleep(_FAILURE_DELAY)
         spent = self.now() - started
-        self.longest_turn = max(self.longest_turn, spent)
+        self.longest_tick = max(self.longest_tick, spent)
 
     def _wait(self, earliest: float) -> None:
-        """Sleep until a time, or a little if anybody touched it."""
-        wait = min(max(earliest - self.now(), 0.0), _LONGEST)
-        if self._touched.ready():
-            self._touched = eventlet.event.Event()
-            eventlet.sleep(min(wait, _LOOK_DELAY))
+        """Sleep until a time, or for a short delay after a `touch`."""
+        wait = min(max(earliest - self.now(), 0.0), _MAX_SLEEP)
+        if self._touch_event.ready():
+            self._touch_event = eventlet.event.Event()
+            eventlet.sleep(min(wait, _CHECK_DELAY))
             return
         with eventlet.Timeout(max(wait, 0.0005), False):
-            self._touched.wait()
+            self._touch_event.wait()
