--- a/currantwall/root.py
+++ b/currantwall/root.py
@@ -136,7 +136,7 @@
         """Ping the configured seeds until this node knows others."""
         while len(self._node.nodes.usable()) <= 1:
             ping = wire.Ping(0, (self._node.nodes.me,))
-            self._links.greet_seeds(ping)
+            self._links.send_to_seeds(ping)
             eventlet.sleep(_SEED_INTERVAL)
 
     def _on_signal(self, number: int, frame: typing.Any) -> None:
--- a/currantwall/transport/links.py
+++ b/currantwall/transport/links.py
@@ -178,8 +178,8 @@
             if self._nodes.get(node) is None:
                 self._peers.pop(node).socket.close()
 
-    def greet_seeds(self, body: wire.Body) -> None:
-        """Send a body to the configured seed addresses."""
+    def send_to_seeds(self, body: wire.Body) -> None:
+        """Send a body to the configured seed addresses but this node's own."""
         me = self._nodes.me
         envelope = wire.Envelope(
             sender=me.id,
