--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -194,7 +194,7 @@
         "currantwall/transport/duties.py",
         "        seen = self._fleet.updated\n",
         "        seen = self._clock.now()\n",
-        f"{_DUTIES}.StartTest.test_a_domain_is_not_dealt_out_by_half_a_list",
+        f"{_DUTIES}.StartTest.test_models_are_not_assigned_from_an_incomplete_list",
     ),
     Mutant(
         "a lease taken before it has lapsed",
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -1,8 +1,8 @@
-"""Who looks after a domain, while the store and the nodes misbehave.
+"""Leases and control of domains while the store and the nodes fail.
 
-Two or three real `Duties` share a store of this test's. Time passes in
-steps of a tenth of a second, the way the real loop runs; what would run
-beside it runs at once.
+Two or three real `Duties` share a simulated store. Time advances in steps
+of a tenth of a second, the interval of the real loop. Green threads that
+the loop would spawn run at once.
 """
 
 import itertools
@@ -34,23 +34,23 @@
 
 
 class World:
-    """The clock, the store and the nodes."""
+    """The simulated clock and store, and the nodes."""
 
     def __init__(self, names):
         self.time = 100.0
         self.revision = 10
         self.objects = {}
-        self.late = []
+        self.delayed_writes = []
         self.nodes = {name: Node(name, self) for name in names}
         for node in self.nodes.values():
             for other in self.nodes.values():
-                node.hear(other)
+                node.receive_heartbeat(other)
 
     def now(self):
         return self.time
 
     def write(self, name, value, revision):
-        """Carry out a write on its condition; return whether it held."""
+        """Carry out a conditional write; return whether it succeeded."""
         held = self.objects.get(name)
         if revision is not None and revision != (held.revision if held else 0):
             return False
@@ -61,8 +61,12 @@
     def run(self, seconds, check=None):
         for _ in range(round(seconds / _STEP)):
             self.time += _STEP
-            due = [one for one in self.late if one[0] <= self.time]
-            self.late = [one for one in self.late if one[0] > self.time]
+            due = [
+                write for write in self.delayed_writes if write[0] <= self.time
+            ]
+            self.delayed_writes = [
+                write for write in self.delayed_writes if write[0] > self.time
+            ]
             for _, *write in due:
                 self.write(*write)
             for node in self.nodes.values():
@@ -77,17 +81,19 @@
 
 
 class Node:
-    """One node, its own way to the store, and its own clock's sight."""
+    """One node, with its own connection to the store."""
 
     def __init__(self, name, world):
         self.name = name
         self.world = world
         self.paused = False
         self.dead = False
-        # What becomes of its calls: ok, down, lost, done, late.
-        self.way = "ok"
-        # Writes that it asked for.
-        self.calls = 0
+        # What happens to its writes: ok, down (refused, as are its reads),
+        # lost (not carried out, without an answer), done (carried out, but
+        # the answer is lost) or late (the same, 3 s later).
+        self.store_mode = "ok"
+        # Number of writes it has attempted.
+        self.write_count = 0
         self.entry = presence_module.NodeEntry(
             id=ids.NodeId(name),
             datacentre=ids.DatacentreName("a"),
@@ -99,7 +105,7 @@
         self.presence = presence_module.Presence(self.entry)
         self.presence.ready = True
         self.serial = 0
-        # Of its instance, as the list tells it.
+        # Seat of its instance in the list of instances.
         self.seat = None
         self.fleet = upstreams.Fleet()
         self.leases = domainleases.DomainLeases(
@@ -120,10 +126,10 @@
             world,
         )
         self.duties.services = lambda: (_SERVICE,)
-        self.read_list()
+        self.update_fleet()
 
-    def read_list(self):
-        one = upstreams.Upstream(
+    def update_fleet(self):
+        upstream = upstreams.Upstream(
             id=ids.InstanceId("e1"),
             service=_SERVICE.name,
             address="e1:1",
@@ -132,10 +138,10 @@
             seat=self.seat,
         )
         now = self.world.now()
-        self.fleet.replace([one], round(now * 10), now)
+        self.fleet.replace([upstream], round(now * 10), now)
 
-    def hear(self, other):
-        """Take a heartbeat of another node."""
+    def receive_heartbeat(self, other):
+        """Receive a heartbeat from another node."""
         other.serial += 1
         heartbeat = presence_module.Heartbeat(
             node=other.entry, serial=other.serial, ready=True
@@ -143,28 +149,28 @@
         self.presence.note_heartbeat(heartbeat, self.world.now())
 
     def tick(self):
-        """Do what the real loop does in one round."""
+        """Run one round of the real loop, after heartbeats and the list."""
         if self.paused or self.dead:
             return
         for other in self.world.nodes.values():
             if not (other.paused or other.dead):
-                self.hear(other)
-        self.read_list()
+                self.receive_heartbeat(other)
+        self.update_fleet()
         self.duties.tick(self.world.now())
 
     def holds(self, now):
         return not self.dead and bool(self.leases.list_leases(now))
 
-    # -- The store, as this node reaches it
+    # -- The store, as this node sees it
 
     def list(self, kind, stale=False):
-        if self.way == "down":
+        if self.store_mode == "down":
             return result.Err(Failure.UNAVAILABLE)
         objects = tuple(self.world.objects.values())
         return result.Ok(ports.Listing(objects, self.world.revision))
 
     def get(self, kind, name):
-        if self.way != "ok":
+        if self.store_mode != "ok":
             return result.Err(Failure.LOST)
         held = self.world.objects.get(name)
         if held is None:
@@ -172,15 +178,17 @@
         return result.Ok(held)
 
     def put(self, kind, name, value, revision):
-        self.calls += 1
-        if self.way == "down":
+        self.write_count += 1
+        if self.store_mode == "down":
             return result.Err(Failure.UNAVAILABLE)
-        if self.way == "late":
+        if self.store_mode == "late":
             at = self.world.time + 3.0
-            self.world.late.append((at, name, value, revision))
+            self.world.delayed_writes.append((at, name, value, revision))
             return result.Err(Failure.LOST)
-        done = self.way != "lost" and self.world.write(name, value, revision)
-        if self.way in ("lost", "done"):
+        done = self.store_mode != "lost" and self.world.write(
+            name, value, revision
+        )
+        if self.store_mode in ("lost", "done"):
             return result.Err(Failure.LOST)
         if not done:
             return result.Err(Failure.CONFLICT)
@@ -188,7 +196,7 @@
 
 
 class Engines:
-    """Instances that report themselves and refuse each order."""
+    """Instances that answer probes and refuse each order."""
 
     def __init__(self):
         self.sequence = None
@@ -233,10 +241,10 @@
         world.run(20.0, check)
 
     def test_a_holder_that_is_killed_is_succeeded(self):
-        """Replicas of the domain would stay broken.
+        """Guards against replicas that stay broken after a holder's death.
 
-        Load: members are lost every few seconds; each second without a
-        holder is one in which none is replaced.
+        Members are lost every few seconds, and none is replaced while no
+        node holds the lease.
         """
         world = self.make("n1", "n2")
         (holder,) = world.list_holders()
@@ -247,52 +255,52 @@
     def test_a_holder_that_the_store_turns_away_is_succeeded(self):
         world = self.make("n1", "n2")
         (holder,) = world.list_holders()
-        world.nodes[holder].way = "down"
+        world.nodes[holder].store_mode = "down"
         world.run(4.5)
         (after,) = world.list_holders()
         self.assertNotEqual(after, holder)
 
     def test_a_domain_finds_a_holder_when_the_first_are_turned_away(self):
-        """Replicas stayed broken for as long as the store turned them away.
+        """Guards against a domain without a holder while some are refused.
 
-        The store turns a third of the nodes away and serves the others;
-        the nodes hear each other all the while, so those that it turns
-        away stay first in the order of preference.
+        The store refuses a third of the nodes and serves the others. All
+        nodes still receive each other's heartbeats, so the refused ones
+        keep the first ranks.
         """
         world = self.make("n1", "n2", "n3", "n4", "n5", "n6")
-        away = []
+        refused = []
         for _ in range(3):
             (holder,) = world.list_holders()
-            away.append(holder)
-            world.nodes[holder].way = "down"
+            refused.append(holder)
+            world.nodes[holder].store_mode = "down"
             world.run(5.5)
-            self.assertEqual(len(world.list_holders()), 1, away)
+            self.assertEqual(len(world.list_holders()), 1, refused)
 
     def test_an_outage_costs_few_calls(self):
-        """An outage would cost more calls than the whole day.
+        """Guards against an outage that costs more calls than a whole day.
 
-        Load: 20 nodes and a store that answers nobody for ten seconds.
+        The store answers none of 20 nodes for ten seconds.
         """
         world = self.make(*(f"n{n}" for n in range(20)))
         for node in world.nodes.values():
-            node.way = "down"
-        calls = sum(node.calls for node in world.nodes.values())
+            node.store_mode = "down"
+        before = sum(node.write_count for node in world.nodes.values())
         world.run(10.0)
-        made = sum(node.calls for node in world.nodes.values()) - calls
-        self.assertLess(made, 80)
+        added = sum(node.write_count for node in world.nodes.values()) - before
+        self.assertLess(added, 80)
 
     def test_a_renewal_whose_answer_is_lost_does_not_end_the_lease(self):
-        """A domain would change hands with each lost answer."""
+        """Guards against a change of holder at each lost answer."""
         world = self.make("n1", "n2")
         (holder,) = world.list_holders()
-        world.nodes[holder].way = "done"
+        world.nodes[holder].store_mode = "done"
         world.run(0.7)
-        world.nodes[holder].way = "ok"
+        world.nodes[holder].store_mode = "ok"
         world.run(2.0)
         self.assertEqual(world.list_holders(), [holder])
 
     def test_a_fence_is_never_used_by_two_holders(self):
-        """An old holder's joins could not be told from a new one's."""
+        """Guards against equal epochs in an old and a new holder's joins."""
         world = self.make("n1", "n2")
         fences = {}
         for _ in range(4):
@@ -308,39 +316,39 @@
         self.assertEqual(sorted(fences), list(fences))
 
     def test_never_two_holders_whatever_happens(self):
-        """Two nodes would build replicas out of the same instances.
+        """Guards against two nodes forming replicas of the same instances.
 
-        Nodes pause and wake; the store turns single ones away, loses
-        their answers, or carries their writes out three seconds late.
+        Nodes pause and resume; the store refuses single ones, loses their
+        answers, or carries out their writes three seconds late.
         """
         for seed in range(40):
-            chance = random.Random(seed)
+            draw = random.Random(seed)
             world = World(("n1", "n2", "n3"))
 
             def check(world=world, seed=seed):
                 self.assertLessEqual(len(world.list_holders()), 1, seed)
 
             for _ in range(30):
-                node = world.nodes[chance.choice(("n1", "n2", "n3"))]
-                node.paused = chance.random() < 0.3
-                node.way = chance.choice(
+                node = world.nodes[draw.choice(("n1", "n2", "n3"))]
+                node.paused = draw.random() < 0.3
+                node.store_mode = draw.choice(
                     ("ok", "ok", "down", "lost", "done", "late")
                 )
-                world.run(chance.uniform(0.1, 3.0), check)
+                world.run(draw.uniform(0.1, 3.0), check)
             for node in world.nodes.values():
                 node.paused = False
-                node.way = "ok"
+                node.store_mode = "ok"
             world.run(8.0, check)
             self.assertEqual(len(world.list_holders()), 1, seed)
 
 
 class TenureTest(LeaseCase):
     def test_a_holder_that_comes_back_gives_no_order_by_what_it_knew(self):
-        """An instance joined a replica while its own one was open.
+        """Guards against orders based on knowledge from an earlier tenure.
 
-        A node holds the domain, loses it to another one that goes on
-        with the replicas, and holds it again: what it knew of the
-        instances is from before.
+        A node holds the domain, loses it to another node, which opens a
+        replica, and takes it again. By its old knowledge the replica is
+        not open, so it ordered an instance of it to join another one.
         """
         world = self.make("n1", "n2")
         (holder,) = world.list_holders()
@@ -368,25 +376,25 @@
     def setUp(self):
         super().setUp()
         self.world = self.make("n1", "n2", "n3")
-        self.told = []
+        self.reported_losses = []
         seat = upstreams.Seat(
             upstreams.name_replica("m", 1, "r"), 1, 0, upstreams.Phase.OPEN
         )
         for node in self.world.nodes.values():
             node.seat = seat
             node.engines.sequence = 3
-            node.duties.on_loss = lambda life, node=node: self.told.append(
-                (node.name, life)
+            node.duties.on_loss = lambda life, node=node: (
+                self.reported_losses.append((node.name, life))
             )
         self.world.run(5.0)
 
 
 class ProbeTest(ReplicaCase):
-    """Losses while the store is away and nobody can hold the lease."""
+    """Losses while the store is down and no node can hold the lease."""
 
     def lose_store(self):
         for node in self.world.nodes.values():
-            node.way = "down"
+            node.store_mode = "down"
         self.world.run(4.0)
         self.assertEqual(self.world.list_holders(), [])
 
@@ -397,18 +405,21 @@
         self.world.run(1.0)
 
     def test_a_loss_is_told_while_the_store_is_away(self):
-        """A hundred gateways each waited a second for the lost replica."""
+        """Guards against a lost replica that nobody reports in an outage.
+
+        Each of a hundred gateways then waits a second for that replica.
+        """
         (holder,) = self.world.list_holders()
         self.lose_store()
         self.lose_instance()
-        self.assertEqual([name for name, _ in self.told], [holder])
+        self.assertEqual([name for name, _ in self.reported_losses], [holder])
 
     def test_a_loss_is_told_though_the_last_holder_is_gone_too(self):
         (holder,) = self.world.list_holders()
         self.world.nodes[holder].dead = True
         self.lose_store()
         self.lose_instance()
-        self.assertEqual(len(self.told), 1)
+        self.assertEqual(len(self.reported_losses), 1)
 
     def test_no_order_is_given_while_nobody_holds_the_lease(self):
         self.lose_store()
@@ -419,17 +430,17 @@
             self.assertEqual(node.engines.orders, [])
 
     def test_a_node_that_hears_nobody_tells_no_losses(self):
-        """A node that was cut off took every instance for lost."""
+        """Guards against a node that is cut off and reports every instance."""
         (holder,) = self.world.list_holders()
         for node in self.world.nodes.values():
             node.paused = node.name != holder
         self.lose_store()
         self.lose_instance()
-        self.assertEqual(self.told, [])
+        self.assertEqual(self.reported_losses, [])
 
 
 class SlowTest(ReplicaCase):
-    """A member that is slow for a while."""
+    """Reports of a member that is slow for a while."""
 
     def set_pace(self, pace):
         for node in self.world.nodes.values():
@@ -437,13 +448,14 @@
 
     def setUp(self):
         super().setUp()
-        # As of a replica that is whole and open: nothing else has it asked.
+        # The planner asks for no probes, as for a complete and open
+        # replica between two steady probes.
         patch = mock.patch.object(
             formation.Planner, "list_probes", return_value=[]
         )
         patch.start()
         self.addCleanup(patch.stop)
-        # A doubt right after a probe asks for no other one.
+        # `suspect` starts no probe right after another one.
         self.world.run(0.5)
         self.slow = []
         for node in self.world.nodes.values():
@@ -452,7 +464,11 @@
             )
 
     def test_a_slow_member_is_told_until_it_no_longer_is(self):
-        """Each of a hundred nodes found out by a stream that stalled."""
+        """Guards against a slow replica that is not reported in time.
+
+        Each of a hundred nodes then notices by a stalled stream of its
+        own.
+        """
         (holder,) = self.world.list_holders()
         self.set_pace(12.0)
         self.world.nodes[holder].duties.suspect(ids.InstanceId("e1"))
@@ -477,18 +493,19 @@
 
 
 class StartTest(LeaseCase):
-    def test_a_domain_is_not_dealt_out_by_half_a_list(self):
-        """A third of a domain would be loaded with the wrong model.
+    def test_models_are_not_assigned_from_an_incomplete_list(self):
+        """Guards against models assigned from an incomplete list.
 
-        Instances register over some seconds, and this node's list stands
-        still meanwhile: whoever reads the store for it is late.
+        Instances register over some seconds. Meanwhile this node's list is
+        not updated, as the node that reads the store for it is late; a
+        third of a domain was then loaded with the wrong model.
         """
         world = World(("n1",))
         node = world.nodes["n1"]
-        node.read_list = lambda: None
+        node.update_fleet = lambda: None
         world.run(5.0)
         self.assertEqual(world.list_holders(), [])
-        del node.read_list
+        del node.update_fleet
         world.run(5.0)
         self.assertEqual(world.list_holders(), ["n1"])
 
