--- a/tests/test_feeds.py
+++ b/tests/test_feeds.py
@@ -1,6 +1,7 @@
-"""What a node knows of the store, while the store misbehaves.
+"""Feeds of instances and of the configuration, while the store fails.
 
-The store answers from a script and time passes only while a feed sleeps.
+The store answers from a script, and time advances only while a feed
+sleeps.
 """
 
 import unittest
@@ -22,11 +23,11 @@
 
 
 class Stop(BaseException):
-    """Ends a feed when its script is at its end."""
+    """Ends a feed after its last scripted call."""
 
 
 class Clock:
-    """Time that passes while somebody sleeps."""
+    """A clock that advances only during sleeps."""
 
     def __init__(self):
         self.time = 100.0
@@ -65,7 +66,7 @@
 
 
 class Documents:
-    """Documents of this test: a number is a configuration's version."""
+    """Test formats: a configuration is just its version number."""
 
     configuration_kind = "config"
     configuration_name = "main"
@@ -91,7 +92,7 @@
 
 
 class Log:
-    """Collects what is logged."""
+    """Collects the names of logged events."""
 
     def __init__(self):
         self.events = []
@@ -101,7 +102,7 @@
 
 
 class Table:
-    """Stands for the forwarder: holds the table in force."""
+    """Test double of the forwarder: holds the table in force."""
 
     table = None
 
@@ -122,11 +123,11 @@
 
 
 def make_entry(name, **fields):
-    given = {"front": "f", "heartbeats": "h", "peer": "p", "incarnation": 1}
+    defaults = {"front": "f", "heartbeats": "h", "peer": "p", "incarnation": 1}
     return presence_module.NodeEntry(
         id=ids.NodeId(name),
         datacentre=ids.DatacentreName("a"),
-        **(given | fields),
+        **(defaults | fields),
     )
 
 
@@ -161,10 +162,10 @@
         return sorted(one.id for one in self.fleet.all())
 
     def test_entries_that_lapsed_in_an_outage_are_kept_for_a_while(self):
-        """Every replica would be taken apart after an outage.
+        """Guards against replicas that are all dissolved after an outage.
 
-        Entries lapse while the store is away; with its return the list
-        lacks servers that live, whose entries come a little later.
+        Entries lapse during the outage. After it the list lacks live
+        servers, whose entries return a little later.
         """
         feed = self.make(
             [
@@ -178,7 +179,7 @@
         self.assertEqual(self.list_names(), ["a", "b"])
 
     def test_entries_that_do_not_come_back_are_taken_as_gone(self):
-        """Requests would go on to servers that have left for good."""
+        """Guards against requests to servers that have left for good."""
         feed = self.make(
             [
                 make_list(1, "a", "b"),
@@ -196,10 +197,11 @@
         self.assertEqual(self.list_names(), ["a"])
 
     def test_who_leaves_is_dropped_although_old_reads_lag(self):
-        """Requests reached a server over two seconds after it said so.
+        """Guards against requests to a server that is known to leave.
 
-        Reads that may be old were three seconds behind for some time; the
-        store answered, and leases were renewed all the while.
+        Stale reads lagged by three seconds for some time, while the store
+        answered and leases were renewed. Requests reached the server over
+        two seconds after its announcement.
         """
         feed = self.make([])
         began = self.clock.time
@@ -223,7 +225,7 @@
         self.assertEqual(self.list_names(), ["a"])
 
     def test_reads_may_be_old_while_they_hardly_lag(self):
-        """Each read would cost ten times as much."""
+        """Guards against fresh reads, which cost ten times as much."""
         feed = self.make([])
         began = self.clock.time
         fresh = []
@@ -242,7 +244,10 @@
         self.assertEqual(sum(fresh), 0)
 
     def test_who_leaves_is_dropped_after_this_node_was_turned_away(self):
-        """Requests went on to servers that had left for good."""
+        """Guards against keeping entries after a refusal of this node alone.
+
+        Requests went on to servers that had left for good.
+        """
         feed = self.make(
             [
                 make_list(1, "a", "b"),
@@ -254,7 +259,7 @@
         )
         serials = iter(range(1, 100))
 
-        def hear():
+        def receive_heartbeat():
             heartbeat = presence_module.Heartbeat(
                 node=make_entry("peer"),
                 serial=next(serials),
@@ -264,16 +269,16 @@
             )
             self.presence.note_heartbeat(heartbeat, self.clock.now())
 
-        self.store.before_call = hear
+        self.store.before_call = receive_heartbeat
         self.store.limit = 5
         self.run_feed(feed)
         self.assertEqual(self.list_names(), ["a"])
 
     def test_a_node_that_is_turned_away_takes_a_peers_list(self):
-        """A node would send requests to servers that have left.
+        """Guards against requests by an outdated list of a refused node.
 
-        The store turns this node away and serves the others, one of
-        which tells of a newer list in its heartbeat.
+        The store refuses this node and serves the others, one of which
+        reports a newer list in its heartbeat.
         """
         feed = self.make([make_list(1, "a"), result.Err(Failure.UNAVAILABLE)])
         peer = make_entry("peer", peer="p2")
@@ -292,7 +297,7 @@
 
 
 class FollowerTest(FeedCase):
-    """A node that leaves reading the store to others."""
+    """A node that follows a reader instead of reading the store."""
 
     def setUp(self):
         super().setUp()
@@ -313,16 +318,18 @@
         )
         return mock.Mock(feed=feed, fleet=fleet, presence=presence)
 
-    def read(self, revision, *names):
-        """Let the reader have a list as of a revision."""
+    def set_reader_list(self, revision, *names):
+        """Give the reader a list as of a revision."""
         listing = make_list(revision, *names).ok_value
-        known = {one.name: one for one in self.reader.feed._changes.objects}
-        kept = [known.get(one.name, one) for one in listing.objects]
-        listing = ports.Listing(tuple(kept), revision)
+        known_items = {
+            one.name: one for one in self.reader.feed._changes.objects
+        }
+        items = [known_items.get(one.name, one) for one in listing.objects]
+        listing = ports.Listing(tuple(items), revision)
         self.reader.feed._apply_list(listing, self.clock.now())
 
-    def tell(self, store_age=0.0):
-        """Let the follower hear what the reader has."""
+    def send_heartbeats(self, store_age=0.0):
+        """Send the follower heartbeats that report the reader's list."""
         self.serial += 1
         for name in ("reader", "other"):
             self.follower.presence.note_heartbeat(
@@ -337,7 +344,11 @@
             )
 
     def follow(self):
-        """Let the follower take what is new, over the wire's form."""
+        """Let the follower fetch a newer list, encoded as on the wire.
+
+        Returns:
+            The listings that were fetched.
+        """
         calls = []
 
         def fetch(address, path):
@@ -355,13 +366,21 @@
             self.follower.feed._follow_reader(self.clock.now())
         return calls
 
-    def ask_store(self, answer):
-        """Let the reader ask the store itself."""
+    def read_store(self, answer):
+        """Let the reader read the store once.
+
+        Args:
+            answer: Result of the call.
+        """
         self.reader.feed._store = Store([answer])
         self.reader.feed._read_store(self.clock.now())
 
-    def tell_reader(self, store_age):
-        """Let the reader hear when the store answered another node."""
+    def send_heartbeat_to_reader(self, store_age):
+        """Send the reader a heartbeat of another node that reads the store.
+
+        Args:
+            store_age: Seconds since the store answered that node.
+        """
         self.serial += 1
         self.reader.presence.note_heartbeat(
             presence_module.Heartbeat(
@@ -373,11 +392,11 @@
             self.clock.now(),
         )
 
-    def pass_time(self, seconds, store_age):
-        """Let the nodes hear from each other while time passes.
+    def advance_time(self, seconds, store_age):
+        """Advance the time while the nodes exchange heartbeats.
 
         Args:
-            seconds: How long.
+            seconds: By how much.
             store_age: Seconds since the store last answered some node, at
                 the end.
         """
@@ -385,8 +404,8 @@
         while self.clock.time < until - 1e-9:
             self.clock.time += 0.25
             left = until - self.clock.time
-            self.tell_reader(max(0.0, store_age - left))
-            self.tell(max(0.0, store_age - left))
+            self.send_heartbeat_to_reader(max(0.0, store_age - left))
+            self.send_heartbeats(max(0.0, store_age - left))
 
     def list_names(self):
         return sorted(one.id for one in self.follower.fleet.all())
@@ -395,103 +414,107 @@
         return self.follower.presence.reads_store(self.clock.now())
 
     def test_only_what_has_changed_is_passed_on(self):
-        self.read(10, "a", "b", "c")
-        self.tell()
+        self.set_reader_list(10, "a", "b", "c")
+        self.send_heartbeats()
         self.follow()
         self.assertEqual(self.list_names(), ["a", "b", "c"])
-        self.read(20, "a", "c", "d")
-        self.tell()
+        self.set_reader_list(20, "a", "c", "d")
+        self.send_heartbeats()
         (changes,) = self.follow()
         self.assertEqual([one.name for one in changes.objects], ["d"])
         self.assertEqual(changes.removed, frozenset("b"))
         self.assertEqual(self.list_names(), ["a", "c", "d"])
 
     def test_an_unchanged_list_is_not_fetched_again(self):
-        """Each node would fetch the list twice a second for nothing.
+        """Guards against fetching an unchanged list twice a second.
 
         The store's revision rises with every renewal of a lease, which
         changes no instance.
         """
-        self.read(10, "a")
-        self.tell()
+        self.set_reader_list(10, "a")
+        self.send_heartbeats()
         self.follow()
-        self.read(15, "a")
-        self.tell()
+        self.set_reader_list(15, "a")
+        self.send_heartbeats()
         self.assertEqual(self.follow(), [])
 
     def test_a_node_reads_the_store_itself_when_no_reader_can(self):
-        """Requests would go to servers that left long ago.
+        """Guards against requests to servers that left long ago.
 
-        The store turns both readers away and serves this node.
+        The store refuses both readers but would serve this node.
         """
-        self.tell()
+        self.send_heartbeats()
         self.assertFalse(self.reads_store())
         self.clock.time += 1.0
-        self.tell(store_age=1.0)
+        self.send_heartbeats(store_age=1.0)
         self.assertFalse(self.reads_store())
         self.clock.time += 1.0
-        self.tell(store_age=2.0)
+        self.send_heartbeats(store_age=2.0)
         self.assertTrue(self.reads_store())
 
     def test_a_node_reads_the_store_itself_when_it_hears_no_reader(self):
-        self.tell()
+        self.send_heartbeats()
         self.clock.time += 3.0
         self.assertTrue(self.reads_store())
 
     def test_an_outage_is_left_to_the_readers(self):
-        """In an outage the calls of all nodes cost as much as a day's.
+        """Guards against an outage that costs as many calls as a whole day.
 
-        Load: a store that answers nobody for twenty seconds, and a node
-        that hears two readers which get no answer either.
+        The store answers nobody for twenty seconds. The node receives
+        heartbeats of two readers, which get no answer either.
         """
-        self.read(10, "a")
-        self.tell(store_age=5.0)
+        self.set_reader_list(10, "a")
+        self.send_heartbeats(store_age=5.0)
         self.follow()
         self.clock.time += 3.0
         feed = self.follower.feed
         feed._store = Store([result.Err(Failure.UNAVAILABLE)])
         before = self.clock.time
         for _ in range(100):
-            self.tell(store_age=self.clock.time - 90.0)
+            self.send_heartbeats(store_age=self.clock.time - 90.0)
             if self.clock.time - before > 20.0:
                 break
             feed._read_store(self.clock.time)
             self.clock.sleep(feed._choose_wait(self.clock.time))
         self.assertLessEqual(feed._store.calls, 11)
 
-    def play_outage(self, seconds):
-        """Let the store answer nobody; it holds nothing new at its end."""
+    def simulate_outage(self, seconds):
+        """Let the store answer nobody for some seconds, up to its return."""
         for age in range(1, seconds):
-            self.pass_time(1.0, age)
-            self.ask_store(result.Err(Failure.UNAVAILABLE))
-        self.pass_time(1.0, seconds)
+            self.advance_time(1.0, age)
+            self.read_store(result.Err(Failure.UNAVAILABLE))
+        self.advance_time(1.0, seconds)
 
     def test_entries_that_lapsed_are_kept_here_too(self):
-        """Every replica would be taken apart after an outage.
+        """Guards against replicas that are all dissolved after an outage.
 
-        The reader knows that entries lapsed while the store was away and
-        keeps them; a node that takes its list must do the same, and drop
-        them when the reader does.
+        The reader knows of the outage and keeps lapsed entries. A node
+        that fetches its list must keep them too, and drop them when the
+        reader does.
         """
-        self.ask_store(make_list(10, "a", "b"))
-        self.tell()
+        self.read_store(make_list(10, "a", "b"))
+        self.send_heartbeats()
         self.follow()
-        self.play_outage(5)
-        self.ask_store(make_list(20, "a"))
-        self.tell()
+        self.simulate_outage(5)
+        self.read_store(make_list(20, "a"))
+        self.send_heartbeats()
         self.follow()
         self.assertEqual(self.list_names(), ["a", "b"])
-        self.pass_time(5.0, 0.0)
+        self.advance_time(5.0, 0.0)
         self.follow()
         self.assertEqual(self.list_names(), ["a"])
 
     def test_lapsed_entries_are_kept_by_who_hears_of_the_list_first(self):
-        """A node dropped live replicas as the reader's heartbeat was lost."""
-        self.ask_store(make_list(10, "a", "b"))
-        self.tell()
+        """Guards against dropping live replicas after a lost heartbeat.
+
+        The follower missed the reader's heartbeat and learned of the new
+        list from a third node.
+        """
+        self.read_store(make_list(10, "a", "b"))
+        self.send_heartbeats()
         self.follow()
-        self.play_outage(5)
-        self.ask_store(make_list(20, "a"))
+        self.simulate_outage(5)
+        self.read_store(make_list(20, "a"))
         self.follower.presence.note_heartbeat(
             presence_module.Heartbeat(
                 node=make_entry("third"),
@@ -503,80 +526,92 @@
         )
         self.follow()
         self.assertEqual(self.list_names(), ["a", "b"])
-        self.pass_time(1.0, 0.0)
+        self.advance_time(1.0, 0.0)
         self.follow()
         self.assertEqual(self.list_names(), ["a", "b"])
-        self.pass_time(3.0, 0.0)
+        self.advance_time(3.0, 0.0)
         self.follow()
         self.assertEqual(self.list_names(), ["a"])
 
     def test_who_leaves_is_dropped_after_a_reader_was_turned_away(self):
-        """Nodes the store never refused sent requests to who had left."""
-        self.ask_store(make_list(10, "a", "b", "c"))
-        self.tell()
+        """Guards against keeping entries after a refusal of the reader alone.
+
+        Nodes that the store never refused sent requests to instances that
+        had left.
+        """
+        self.read_store(make_list(10, "a", "b", "c"))
+        self.send_heartbeats()
         self.follow()
         for _ in range(3):
-            self.pass_time(0.5, 0.0)
-            self.ask_store(result.Err(Failure.UNAVAILABLE))
-        self.pass_time(0.5, 0.0)
-        self.ask_store(make_list(20, "a", "b", "c", "d"))
-        self.tell()
+            self.advance_time(0.5, 0.0)
+            self.read_store(result.Err(Failure.UNAVAILABLE))
+        self.advance_time(0.5, 0.0)
+        self.read_store(make_list(20, "a", "b", "c", "d"))
+        self.send_heartbeats()
         self.follow()
-        self.pass_time(0.5, 0.0)
-        self.ask_store(make_list(30, "a", "b", "d"))
-        self.tell()
+        self.advance_time(0.5, 0.0)
+        self.read_store(make_list(30, "a", "b", "d"))
+        self.send_heartbeats()
         self.follow()
         self.assertEqual(self.list_names(), ["a", "b", "d"])
 
     def test_who_leaves_is_dropped_after_a_reader_was_cut_off(self):
-        """Nodes believed in an outage that only a lone reader had seen."""
-        self.ask_store(make_list(10, "a", "b"))
-        self.tell()
+        """Guards against an outage that only an isolated reader has seen.
+
+        Other nodes took it for a real one and kept entries of instances
+        that had left.
+        """
+        self.read_store(make_list(10, "a", "b"))
+        self.send_heartbeats()
         self.follow()
         for _ in range(4):
             # The reader hears nobody; the follower hears other readers.
             self.clock.time += 0.25
-            self.ask_store(result.Err(Failure.LOST))
+            self.read_store(result.Err(Failure.LOST))
             self.clock.time += 0.25
-            self.tell()
+            self.send_heartbeats()
         self.clock.time += 0.25
-        self.ask_store(make_list(20, "a"))
+        self.read_store(make_list(20, "a"))
         self.assertIsNotNone(self.reader.feed.list_changes(10).failure_age)
-        self.tell()
+        self.send_heartbeats()
         self.follow()
         self.assertEqual(self.list_names(), ["a"])
 
     def test_lapsed_entries_are_not_kept_longer_by_who_hears_of_them_late(
         self,
     ):
-        """Each node that passed a list on kept who was gone for longer."""
-        self.ask_store(make_list(10, "a", "b"))
-        self.tell()
+        """Guards against a grace period that restarts at each node.
+
+        Each node that passed on a list kept the missing instances for
+        longer.
+        """
+        self.read_store(make_list(10, "a", "b"))
+        self.send_heartbeats()
         self.follow()
-        self.play_outage(5)
+        self.simulate_outage(5)
         returned = self.clock.now()
-        self.ask_store(make_list(20, "a"))
-        self.pass_time(2.0, 2.0)
-        self.tell()
+        self.read_store(make_list(20, "a"))
+        self.advance_time(2.0, 2.0)
+        self.send_heartbeats()
         self.follow()
         self.assertEqual(self.list_names(), ["a", "b"])
         while self.clock.now() < returned + 3.0:
-            self.pass_time(0.25, 0.0)
-            self.ask_store(make_list(20, "a"))
+            self.advance_time(0.25, 0.0)
+            self.read_store(make_list(20, "a"))
             self.follow()
         self.assertEqual(self.list_names(), ["a"])
 
     def test_a_list_read_later_than_the_peers_is_not_asked_for_again(self):
-        """A node would ask a peer for the same list without a pause.
+        """Guards against fetching the same list again and again.
 
-        It read the store itself meanwhile, so the peer's newer change is
-        in its own list and the peer's list is refused as older.
+        The node has read the store itself meanwhile, so its own list holds
+        the peer's change, and the peer's list is refused as older.
         """
-        self.read(10, "a")
-        self.tell()
+        self.set_reader_list(10, "a")
+        self.send_heartbeats()
         self.follow()
-        self.read(20, "a", "b")
-        self.tell()
+        self.set_reader_list(20, "a", "b")
+        self.send_heartbeats()
         self.follower.fleet.replace([], 30, self.clock.now())
         self.assertEqual(len(self.follow()), 1)
         self.assertEqual(self.follow(), [])
@@ -596,10 +631,10 @@
         )
 
     def test_a_version_is_never_replaced_by_an_older_one(self):
-        """Dropped routes and keys would work again.
+        """Guards against removed routes and keys that work again.
 
-        A read that is seconds old, or a peer's late answer, brings an
-        older version after a newer one.
+        A stale read or a late answer of a peer brings an older version
+        after a newer one.
         """
         feed = self.make([make_versions(1, 7)], [make_versions(2, 9, 8)])
         self.store.limit = 3
@@ -615,10 +650,10 @@
         self.assertIn("configuration_unreadable", self.log.events)
 
     def test_a_history_that_is_gone_again_and_again_is_waited_for(self):
-        """The store would get a call every few milliseconds from each node.
+        """Guards against a call every few milliseconds from each node.
 
-        It drops its history while changes are made: each watch fails as
-        expired at once, and each list is followed by another watch.
+        The store drops its history while changes are made: each watch
+        expires at once, and each list is followed by another watch.
         """
         feed = self.make([make_versions(1, 7)], [result.Err(Failure.EXPIRED)])
         self.run_feed(feed)
@@ -627,21 +662,22 @@
     def test_an_outage_is_left_to_those_that_read_for_others(self):
         lists = [make_versions(1, 7), result.Err(Failure.UNAVAILABLE)]
         feed = self.make(lists, [result.Err(Failure.UNAVAILABLE)])
-        peers_ = [make_entry(f"n{n}", capacity=9.0) for n in range(2)]
-        feed._presence.note_list(peers_, self.clock.now())
+        readers = [make_entry(f"n{n}", capacity=9.0) for n in range(2)]
+        feed._presence.note_list(readers, self.clock.now())
         self.store.limit = 12
         self.run_feed(feed)
         self.assertGreater(self.clock.time - 100.0, 15.0)
 
     def test_an_outage_costs_others_than_readers_a_call_in_seconds(self):
-        """An outage of eight seconds cost as many calls as the whole day.
+        """Guards against an outage that costs as many calls as a whole day.
 
-        No reader has an answer, and each of 132 nodes looks for itself.
+        In an outage of eight seconds no reader got an answer, and each of
+        132 nodes called the store itself.
         """
         lists = [make_versions(1, 7), result.Err(Failure.LOST)]
         feed = self.make(lists, [result.Err(Failure.LOST)])
-        peers_ = [make_entry(f"n{n}", capacity=9.0) for n in range(2)]
-        feed._presence.note_list(peers_, self.clock.now())
+        readers = [make_entry(f"n{n}", capacity=9.0) for n in range(2)]
+        feed._presence.note_list(readers, self.clock.now())
         began = self.clock.now()
         self.store.limit = 5
         self.run_feed(feed)
