--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -1,4 +1,8 @@
-"""What a node makes of the counts that others tell, as member and relay."""
+"""Handling of other nodes' reports, by members and by relays.
+
+In a large fleet a member receives the sum of all nodes' request counts,
+and a relay receives the counts of its clients and of other relays.
+"""
 
 import unittest
 from unittest import mock
@@ -14,13 +18,18 @@
 from currantwall.transport import news
 
 _NODES = 60
-_HEAD = ids.InstanceId("i1")
+_LEADER = ids.InstanceId("i1")
 RelayRequest = presence_module.RelayRequest
 
 
 class NewsTest(unittest.TestCase):
     def make(self, capacity):
-        """Return a node of a large fleet whose relays are n0 and n1."""
+        """Return a node of a large fleet whose relays are n0 and n1.
+
+        Args:
+            capacity: Capacity of the node; above that of n0 and n1, which
+                is 1, it is a relay itself.
+        """
         me = network.make_entry("me", "a", capacity)
         presence = presence_module.Presence(me)
         presence.ready = True
@@ -34,7 +43,7 @@
         )
         clock = mock.Mock(now=lambda: 10.0)
         with mock.patch.object(news.heartbeats, "Heartbeats"):
-            made = news.NewsExchange(
+            exchange = news.NewsExchange(
                 "a:1",
                 presence,
                 self.balancer,
@@ -46,82 +55,90 @@
                 mock.Mock(),
                 clock,
             )
-        made._heartbeats = mock.Mock()
-        return made
+        exchange._heartbeats = mock.Mock()
+        return exchange
 
-    def digest(self, relay, is_part, count, serial=1):
+    def make_digest(self, relay, is_part, count, serial=1):
         return digests.Digest(
             node=self.entries[relay],
             serial=serial,
             is_part=is_part,
             nodes={},
-            loads={_HEAD: count},
+            loads={_LEADER: count},
         )
 
-    def beat(self, node, asks, count):
+    def make_heartbeat(self, node, asks, count):
         return presence_module.Heartbeat(
             node=self.entries[node],
             serial=1,
             asks=asks,
             ready=True,
-            loads={_HEAD: count},
+            loads={_LEADER: count},
         )
 
     def test_a_member_takes_its_own_requests_out_of_the_sum(self):
-        """A replica would look busier to those who use it most."""
-        made = self.make(0.1)
-        self.balancer.begin(_HEAD)
-        made._compose(1)
-        made._receive(self.digest(0, False, 7))
-        made._receive(self.digest(1, False, 7))
-        self.assertEqual(self.balancer.count_load(_HEAD), 7)
+        """Guards against replicas that look busiest to nodes that use them."""
+        exchange = self.make(0.1)
+        self.balancer.begin(_LEADER)
+        exchange._compose(1)
+        exchange._receive(self.make_digest(0, False, 7))
+        exchange._receive(self.make_digest(1, False, 7))
+        self.assertEqual(self.balancer.count_load(_LEADER), 7)
 
     def test_a_member_does_not_add_up_parts(self):
-        made = self.make(0.1)
-        made._receive(self.digest(0, False, 7))
-        made._receive(self.digest(1, True, 4))
-        self.assertEqual(self.balancer.count_load(_HEAD), 7)
+        exchange = self.make(0.1)
+        exchange._receive(self.make_digest(0, False, 7))
+        exchange._receive(self.make_digest(1, True, 4))
+        self.assertEqual(self.balancer.count_load(_LEADER), 7)
 
     def test_a_relay_adds_up_those_that_ask_it_first_and_other_parts(self):
-        """A replica would look twice as busy as it is, or idle."""
-        made = self.make(2.0)
-        made._receive(self.beat(5, RelayRequest.FULL, 2))
-        made._receive(self.beat(6, RelayRequest.WITHOUT_LOADS, 3))
-        made._receive(self.digest(0, True, 4))
-        made._receive(self.digest(0, False, 50, serial=2))
-        self.assertEqual(self.balancer.count_load(_HEAD), 6)
+        """Guards against counts that are added up twice or not at all."""
+        exchange = self.make(2.0)
+        exchange._receive(self.make_heartbeat(5, RelayRequest.FULL, 2))
+        exchange._receive(
+            self.make_heartbeat(6, RelayRequest.WITHOUT_LOADS, 3)
+        )
+        exchange._receive(self.make_digest(0, True, 4))
+        exchange._receive(self.make_digest(0, False, 50, serial=2))
+        self.assertEqual(self.balancer.count_load(_LEADER), 6)
 
     def test_attempts_at_a_mended_replica_outlive_an_old_verdict(self):
-        """Streams were cut and begun again at the replica just mended."""
-        made = self.make(0.1)
-        ended = []
-        made.abort_attempts = ended.append
-        beat = msgspec.structs.replace(
-            self.beat(5, RelayRequest.NONE, 0), lost=(f"{_HEAD}@3", "foreign")
+        """Guards against attempts aborted at a replica just repaired.
+
+        Only the attempts at the epoch that the report names are aborted.
+        """
+        exchange = self.make(0.1)
+        aborted = []
+        exchange.abort_attempts = aborted.append
+        heartbeat = msgspec.structs.replace(
+            self.make_heartbeat(5, RelayRequest.NONE, 0),
+            lost=(f"{_LEADER}@3", "foreign"),
         )
-        made._receive(beat)
-        self.assertEqual(ended, [f"{_HEAD}@3"])
+        exchange._receive(heartbeat)
+        self.assertEqual(aborted, [f"{_LEADER}@3"])
 
     def test_a_slow_replica_is_told_to_all(self):
-        made = self.make(0.1)
+        exchange = self.make(0.1)
         self.balancer.note_slow = mock.Mock()
-        beat = self.beat(5, RelayRequest.NONE, 0)
-        made._receive(msgspec.structs.replace(beat, slow=(f"{_HEAD}@3",)))
-        self.balancer.note_slow.assert_called_once_with(_HEAD, 3, 10.0)
-        made.announce_slow("i9@4")
-        made._relay = mock.Mock()
-        made._compose(1)
-        (own, _) = made._relay.list_datagrams.call_args.args
-        self.assertEqual(own.slow, ("i9@4",))
+        heartbeat = self.make_heartbeat(5, RelayRequest.NONE, 0)
+        exchange._receive(
+            msgspec.structs.replace(heartbeat, slow=(f"{_LEADER}@3",))
+        )
+        self.balancer.note_slow.assert_called_once_with(_LEADER, 3, 10.0)
+        exchange.announce_slow("i9@4")
+        exchange._relay = mock.Mock()
+        exchange._compose(1)
+        (sent_heartbeat, _) = exchange._relay.list_datagrams.call_args.args
+        self.assertEqual(sent_heartbeat.slow, ("i9@4",))
 
     def test_a_doubt_goes_straight_to_the_holder(self):
-        """A stalled replica would be looked at half a second later."""
-        made = self.make(0.1)
-        made._duties.find_prober.return_value = ids.NodeId("n9")
-        made.report_stall(_HEAD)
-        (datagram,) = made._heartbeats.send_one.call_args.args
+        """Guards against probing a stalled replica half a second late."""
+        exchange = self.make(0.1)
+        exchange._duties.find_prober.return_value = ids.NodeId("n9")
+        exchange.report_stall(_LEADER)
+        (datagram,) = exchange._heartbeats.send_one.call_args.args
         self.assertEqual([one.id for one in datagram.to], ["n9"])
-        self.assertEqual(datagram.message.stalled, (_HEAD,))
+        self.assertEqual(datagram.message.stalled, (_LEADER,))
 
 
 if __name__ == "__main__":
