--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -84,7 +84,8 @@
     Mutant(
         "nobody tells of losses while nobody holds a lease",
         "currantwall/transport/domainleases.py",
-        "        return self._find_prober(lease, now) == self._presence.me.id\n",
+        "        return self._find_prober(lease, now)"
+        " == self._presence.me.id\n",
         "        return False\n",
         f"{_DUTIES}.ProbeTest.test_a_loss_is_told_while_the_store_is_away",
     ),
--- a/tests/test_green.py
+++ b/tests/test_green.py
@@ -1,4 +1,4 @@
-"""What is made cooperative at the start of a process."""
+"""Patches of the standard library at the start of a process."""
 
 import pathlib
 import subprocess
@@ -19,18 +19,21 @@
 
 class PatchTest(unittest.TestCase):
     def run_script(self, arguments):
-        done = subprocess.run(
+        process = subprocess.run(
             [sys.executable, "-c", _SCRIPT.format(arguments=arguments)],
             capture_output=True,
             text=True,
             cwd=pathlib.Path(__file__).parent.parent,
             check=False,
         )
-        self.assertEqual(0, done.returncode, done.stderr)
-        return done.stdout.split()
+        self.assertEqual(0, process.returncode, process.stderr)
+        return process.stdout.split()
 
     def test_everything_is_patched(self):
-        """Only locks were, and each wait for the network stopped all."""
+        """Guards against patching only locks.
+
+        Each wait for the network then blocked all green threads.
+        """
         self.assertEqual(self.run_script("")[:4], ["True"] * 4)
 
     def test_threads_can_be_left_alone(self):
@@ -42,7 +45,10 @@
         self.assertEqual(found, ["True", "True", "True", "False"])
 
     def test_asyncio_is_there_for_who_loads_it_later(self):
-        """A scrape page's library may run a coroutine of its own."""
+        """Guards against breaking a library that runs coroutines later.
+
+        The library for the metrics may do so.
+        """
         self.assertEqual(self.run_script("threads=False")[-1], "runs")
 
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -1,7 +1,8 @@
-"""A node's work follows what changes, not how large the fleet is.
+"""A node's work must depend on the changes, not on the size of the fleet.
 
-Load: 1,100 instances of which a few differ from one list to the next, 195
-nodes that all tell what they have in work, and nothing else going on.
+Failure: in a fleet of 195 nodes and 1,100 instances, of which a few change
+between two lists, each node spends its time on what has not changed,
+although nothing else happens.
 """
 
 import random
@@ -31,7 +32,7 @@
 
 
 def make_instance(number, replica, rank, phase, leaving=False):
-    """Return a member of a replica of four; none where that is None."""
+    """Return a member of a replica of four, or a spare if that is None."""
     seat = None
     if replica is not None:
         name = upstreams.name_replica(_MODEL, 4, f"r{replica}")
@@ -48,7 +49,7 @@
 
 
 def describe(fleet):
-    """Return all that a fleet answers, without the order."""
+    """Return the results of all queries of a fleet, in a fixed order."""
     replicas = fleet.list_replicas(_SERVICE)
     serving = fleet.list_serving(_SERVICE, _MODEL)
     return (
@@ -63,7 +64,7 @@
 
 
 class FleetTest(unittest.TestCase):
-    def draw_list(self, draw):
+    def make_random_list(self, draw):
         phases = [Phase.OPEN, Phase.OPEN, Phase.OPEN, Phase.READY]
         return [
             make_instance(
@@ -78,26 +79,28 @@
         ]
 
     def test_a_changed_list_gives_what_a_new_one_does(self):
-        """Requests would go to replicas that have lost a member."""
+        """Guards against requests to replicas that have lost a member."""
         draw = random.Random(4)
         fleet = upstreams.Fleet()
         for revision in range(1, 300):
-            listed = self.draw_list(draw)
-            keeps = draw.random() < 0.2
-            held = {one.id: one for one in fleet.all()} if keeps else {}
-            fleet.replace(listed, revision, float(revision), keeps)
+            listed = self.make_random_list(draw)
+            keeps_missing = draw.random() < 0.2
+            held = (
+                {one.id: one for one in fleet.all()} if keeps_missing else {}
+            )
+            fleet.replace(listed, revision, float(revision), keeps_missing)
             fresh = upstreams.Fleet()
-            whole = held | {one.id: one for one in listed}
-            fresh.replace(whole.values(), 1, 1.0)
+            expected = held | {one.id: one for one in listed}
+            fresh.replace(expected.values(), 1, 1.0)
             self.assertEqual(describe(fleet), describe(fresh), revision)
 
     def test_changes_alone_give_what_the_whole_list_does(self):
-        """Nodes that follow a reader would route by another list than it."""
+        """Guards against followers that route by a wrong list."""
         draw = random.Random(7)
         fleet = upstreams.Fleet()
         held = {}
         for revision in range(1, 300):
-            listed = {one.id: one for one in self.draw_list(draw)}
+            listed = {one.id: one for one in self.make_random_list(draw)}
             differs = [
                 one for name, one in listed.items() if held.get(name) != one
             ]
@@ -126,7 +129,10 @@
 
 class DecodingTest(unittest.TestCase):
     def test_an_entry_is_decoded_once_for_each_revision(self):
-        """A node spent a quarter of its time on entries it had."""
+        """Guards against decoding entries that have not changed.
+
+        A node spent a quarter of its time on that.
+        """
         documents = mock.Mock()
         documents.decode_upstreams = lambda objects: [
             make_instance(int(one.name[1:]), None, 0, Phase.READY)
@@ -141,14 +147,14 @@
         entries[4] = ports.StoredObject("i4", 2, b"{}")
         self.assertEqual(len(decoder.decode(entries)), 9)
         self.assertEqual(len(decoder.decode(entries[1:])), 8)
-        asked = [
+        decoded = [
             [one.name for one in call.args[0]]
             for call in documents.decode_upstreams.call_args_list
         ]
-        self.assertEqual([len(names) for names in asked], [9, 1, 0])
+        self.assertEqual([len(names) for names in decoded], [9, 1, 0])
 
     def test_an_entry_that_became_unreadable_is_gone(self):
-        """Requests would go on to where no server is named any more."""
+        """Guards against requests to a server whose entry is unreadable."""
         documents = mock.Mock()
         documents.decode_upstreams.return_value = []
         decoder = fleets._Decoder(documents)
@@ -157,7 +163,7 @@
         self.assertEqual((found, gone), ([], {"i0"}))
 
     def test_an_entry_that_comes_back_is_decoded_anew(self):
-        """An instance would be held as it was before it left."""
+        """Guards against an instance in the state it had before it left."""
         documents = mock.Mock()
         documents.decode_upstreams.side_effect = [
             [make_instance(0, None, 0, Phase.READY)],
@@ -173,45 +179,55 @@
 
 class QuietTest(test_duties.LeaseCase):
     def test_nothing_is_worked_out_while_nothing_changes(self):
-        """Days were given up for want of processor time at 195 nodes."""
+        """Guards against recomputing rankings and assignments all the time.
+
+        At 195 nodes, runs of a whole day were abandoned for lack of
+        processor time.
+        """
         world = self.make("a", "b", "c")
-        world.run(2.0, lambda: tell_leases(world))
+        world.run(2.0, lambda: exchange_leases(world))
         rank = mock.patch.object(
             presence_module.rendezvous, "rank", side_effect=AssertionError
         )
-        deal = mock.patch.object(
+        assign = mock.patch.object(
             staging, "assign_models", side_effect=AssertionError
         )
-        with rank, deal:
-            world.run(5.0, lambda: tell_leases(world))
+        with rank, assign:
+            world.run(5.0, lambda: exchange_leases(world))
         self.assertEqual(len(world.list_holders()), 1)
 
     def test_leases_that_are_told_are_not_read(self):
-        """Two calls in three were reads of what heartbeats tell."""
+        """Guards against reading leases that the heartbeats report.
+
+        Two calls in three were such reads.
+        """
         world = self.make(*(f"n{n}" for n in range(20)))
-        world.run(2.0, lambda: tell_leases(world))
+        world.run(2.0, lambda: exchange_leases(world))
         reads = mock.patch.object(test_duties.Node, "list")
         with reads as listed:
-            world.run(10.0, lambda: tell_leases(world))
+            world.run(10.0, lambda: exchange_leases(world))
         self.assertEqual(listed.call_count, 0)
 
     def test_only_who_may_hold_a_lease_reads_it(self):
-        """Each of 195 nodes paid for reads that it could not use."""
+        """Guards against reads by nodes that can never hold the lease.
+
+        Each of 195 nodes paid for such reads.
+        """
         world = self.make(*(f"n{n}" for n in range(20)))
-        asked = set()
+        readers = set()
 
-        def note(node, kind, stale=False):
-            asked.add(node.name)
-            return listing(node, kind, stale)
+        def record_list(node, kind, stale=False):
+            readers.add(node.name)
+            return original_list(node, kind, stale)
 
-        listing = test_duties.Node.list
-        with mock.patch.object(test_duties.Node, "list", note):
+        original_list = test_duties.Node.list
+        with mock.patch.object(test_duties.Node, "list", record_list):
             world.run(10.0)
-        self.assertLessEqual(len(asked), leases._CANDIDATES)
+        self.assertLessEqual(len(readers), leases._CANDIDATES)
 
 
-def tell_leases(world):
-    """Have all nodes hear of each other's renewals."""
+def exchange_leases(world):
+    """Report the leases of each node to all nodes."""
     for node in world.nodes.values():
         for other in world.nodes.values():
             held = other.leases.list_leases(world.time)
@@ -220,7 +236,10 @@
 
 class QueueTest(unittest.TestCase):
     def test_nobody_looks_for_places_while_nobody_waits(self):
-        """Twenty looks a second at nothing, on each of 195 nodes."""
+        """Guards against polling an empty queue.
+
+        Each of 195 nodes checked its empty queue twenty times a second.
+        """
         fleet = upstreams.Fleet()
         balancer = balancing.Balancer(fleet, ids.DatacentreName("a"))
         queue = queues.Queue(
@@ -236,22 +255,26 @@
 
 
 class ReadersTest(unittest.TestCase):
-    def count_readers(self, places):
-        net = network.Network(20, places, 3)
+    def count_readers(self, datacentres):
+        net = network.Network(20, datacentres, 3)
         net.run(4.0)
         return sum(
             node.presence.is_reader(net.now) for node in net.nodes.values()
         )
 
     def test_the_readers_do_not_grow_with_the_data_centres(self):
-        """Each data centre more made two nodes more ask the same."""
+        """Guards against two more readers for each additional data centre."""
         self.assertEqual(self.count_readers(("a", "b", "c")), 6)
         self.assertEqual(self.count_readers(("a", "b", "c", "d", "e")), 5)
 
     def test_a_reader_that_dies_is_followed_by_another(self):
-        """A data centre would hear of no change until another one's came."""
-        places = ("a", "b", "c", "d", "e")
-        net = network.Network(20, places, 3)
+        """Guards against a data centre that learns of changes late.
+
+        Without a reader of its own it depends on those of other data
+        centres.
+        """
+        datacentres = ("a", "b", "c", "d", "e")
+        net = network.Network(20, datacentres, 3)
         net.run(4.0)
         reader = net.find_relays("b")[0]
         net.dead.add(reader)
@@ -261,12 +284,12 @@
             for node in net.list_live()
             if node.presence.is_reader(net.now)
         ]
-        self.assertEqual(sorted(readers), list(places))
+        self.assertEqual(sorted(readers), list(datacentres))
 
 
 class LoadsTest(unittest.TestCase):
     def test_counts_follow_each_message_and_end_with_their_node(self):
-        """Replicas would look busy with requests that have ended."""
+        """Guards against replicas that look busy with ended requests."""
         balancer = balancing.Balancer(
             upstreams.Fleet(), ids.DatacentreName("a")
         )
