--- a/currantwall/transport/duties.py
+++ b/currantwall/transport/duties.py
@@ -264,8 +264,8 @@
         # The mix is chosen from the assignment without staged models,
         # because a mixed domain has more instances of one model than of
         # the other.
-        dealt = staging.assign_models(engine, known)
-        mix = layout_module.choose_mix(engine, known, dealt)
+        unstaged_models = staging.assign_models(engine, known)
+        mix = layout_module.choose_mix(engine, known, unstaged_models)
         for name, model in found.items():
             self._domains[name].layout = layout_module.Layout(
                 model, mix, self._sizes[name]
