--- a/currantwall/gateway.py
+++ b/currantwall/gateway.py
@@ -157,9 +157,9 @@
         self._stopped = eventlet.event.Event()
         self._front = self._make_ingress(self._forwarder.serve)
 
-    def _make_news(self) -> news.News:
+    def _make_news(self) -> news.NewsExchange:
         """Return what exchanges news, known to those who have some."""
-        made = news.News(
+        made = news.NewsExchange(
             self._settings.heartbeats,
             self._presence,
             self._balancer,
@@ -172,13 +172,13 @@
             self._clock,
         )
         made.is_ready = lambda: self._is_ready
-        made.give_up = self._sender.abort_attempts
-        self._sender.on_probe_requested = made.tell_doubt
-        self._queue.on_high_load = made.tell_loads
-        self._duties.on_loss = made.tell_loss
-        self._duties.on_slow = made.tell_slow
-        self._configuration.on_change = made.tell_change
-        self._fleet_feed.on_change = made.tell_list
+        made.abort_attempts = self._sender.abort_attempts
+        self._sender.on_probe_requested = made.report_stall
+        self._queue.on_high_load = made.report_high_load
+        self._duties.on_loss = made.announce_loss
+        self._duties.on_slow = made.announce_slow
+        self._configuration.on_change = made.announce_configuration
+        self._fleet_feed.on_change = made.announce_list
         return made
 
     # -- Serving
@@ -215,7 +215,7 @@
 
     def _open_front(self) -> None:
         """Let requests through once the node can serve them, or can't."""
-        while not self._is_ready and self._configuration.is_store_there:
+        while not self._is_ready and self._configuration.is_store_reachable:
             eventlet.sleep(_START_POLL)
         self._forwarder.end_start_hold()
 
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -53,7 +53,7 @@
     Mutant(
         "a slow member is told of once",
         "currantwall/transport/duties.py",
-        "        one.slow.add(found.id)\n",
+        "        domain.slow.add(found.id)\n",
         "",
         f"{_DUTIES}.SlowTest.test_a_slow_member_is_told_until_it_no_longer_is",
     ),
@@ -68,8 +68,8 @@
     Mutant(
         "other nodes try an absent store as often as readers",
         "currantwall/transport/configurations.py",
-        "_PATIENCE_FIRST = 4.0\n",
-        "_PATIENCE_FIRST = 0.1\n",
+        "_FOLLOWER_BACKOFF_FIRST = 4.0\n",
+        "_FOLLOWER_BACKOFF_FIRST = 0.1\n",
         f"{_FEEDS}.ConfigurationFeedTest"
         ".test_an_outage_costs_others_than_readers_a_call_in_seconds",
     ),
@@ -84,7 +84,8 @@
     Mutant(
         "nobody tells of losses while nobody holds a lease",
         "currantwall/transport/domainleases.py",
-        "        return self._find_prober(one, now) == self._presence.me.id\n",
+        "        return self._find_prober(lease, now)"
+        " == self._presence.me.id\n",
         "        return False\n",
         f"{_DUTIES}.ProbeTest.test_a_loss_is_told_while_the_store_is_away",
     ),
@@ -194,7 +195,7 @@
         "currantwall/transport/duties.py",
         "        seen = self._fleet.updated\n",
         "        seen = self._clock.now()\n",
-        f"{_DUTIES}.StartTest.test_a_domain_is_not_dealt_out_by_half_a_list",
+        f"{_DUTIES}.StartTest.test_models_are_not_assigned_from_an_incomplete_list",
     ),
     Mutant(
         "a lease taken before it has lapsed",
@@ -235,8 +236,8 @@
     Mutant(
         "a fence used again",
         "currantwall/transport/domainleases.py",
-        "else one.fence + 1\n",
-        "else one.fence\n",
+        "else lease.fence + 1\n",
+        "else lease.fence\n",
         f"{_DUTIES}.LeaseTest.test_a_fence_is_never_used_by_two_holders",
     ),
     Mutant(
