--- a/currantwall/daemon.py
+++ b/currantwall/daemon.py
@@ -1,4 +1,4 @@
-"""``currantwalld``: runs one entry process."""
+"""Command ``currantwalld``: runs one entry process."""
 
 import pathlib
 import sys
@@ -12,20 +12,25 @@
 
 __all__ = ["main"]
 
-_BAD_SETTINGS = 2
+_EXIT_BAD_SETTINGS = 2
 
 
 def _load(path: pathlib.Path) -> settings_module.Settings:
-    """Return the settings in a file; exits with 2 when they are bad."""
+    """Return the settings in a file.
+
+    Raises:
+        SystemExit: With status 2, after printing the error, if the
+            settings are unreadable or invalid.
+    """
     try:
         text = path.read_text(encoding="utf-8")
     except OSError as error:
         print(f"{path}: cannot be read: {error.strerror}", file=sys.stderr)
-        raise SystemExit(_BAD_SETTINGS) from error
+        raise SystemExit(_EXIT_BAD_SETTINGS) from error
     outcome = settings_module.parse_settings(text, str(path))
     if isinstance(outcome, result.Err):
         print(outcome.err_value, file=sys.stderr)
-        raise SystemExit(_BAD_SETTINGS)
+        raise SystemExit(_EXIT_BAD_SETTINGS)
     return outcome.ok_value
 
 
@@ -44,18 +49,19 @@
     settings = _load(config)
     if check:
         return
-    # Only now: what comes next must see the patched standard library.
+    # The modules that root imports must see the patched standard library;
+    # a check of the settings needs neither.
     green.patch()
     from currantwall import root
 
     try:
         root.run(settings)
-    except root.CannotListen as error:
+    except root.ListenError as error:
         print(
             f"{config}: [node] address, peer_address: cannot listen: {error}",
             file=sys.stderr,
         )
-        raise SystemExit(_BAD_SETTINGS) from error
+        raise SystemExit(_EXIT_BAD_SETTINGS) from error
 
 
 def main() -> None:
--- a/currantwall/root.py
+++ b/currantwall/root.py
@@ -1,4 +1,4 @@
-"""The composition root: the only place that knows all parts."""
+"""Composition root of an entry process: creates and connects its parts."""
 
 import os
 import signal
@@ -32,16 +32,20 @@
 from currantwall.transport import timers
 from currantwall.transport import upstreams
 
-__all__ = ["CannotListen", "Daemon", "run"]
+__all__ = ["Daemon", "ListenError", "run"]
 
-_WAITING_INTERVAL = 5.0
-_IN_FLIGHT_POLL = 0.05
-_HAND_OVER_SECONDS = 3.0
+# Seconds between two log lines about the requests that a stop waits for.
+_WAIT_LOG_INTERVAL = 5.0
+# Seconds between two checks of what a stop waits for.
+_STOP_POLL_INTERVAL = 0.05
+# Seconds to wait until a successor has the idempotency keys.
+_HAND_OVER_TIMEOUT = 3.0
+# Seconds between two rounds of pings to the seeds.
 _SEED_INTERVAL = 1.0
 
 
-class CannotListen(Exception):  # noqa: N818
-    """An address of the settings cannot be listened on."""
+class ListenError(Exception):
+    """The process cannot listen on an address of its settings."""
 
 
 class Daemon:
@@ -106,6 +110,7 @@
         self._stopped = eventlet.event.Event()
 
     def _listen(self, handlers: tuple[server.Handlers, ...]) -> server.Server:
+        """Return a server that listens at the address of the settings."""
         address = settings_module.split_address(self._settings.node.address)
         assert address is not None
         requests = self._settings.requests
@@ -123,7 +128,7 @@
         eventlet.spawn(self._links.run, self._core.receive)
         eventlet.spawn(self._clock.run)
         eventlet.spawn(self._splicer.run)
-        eventlet.spawn(self._greet_seeds)
+        eventlet.spawn(self._ping_seeds)
         self._serving = eventlet.spawn(self._server.run)
         structlog.get_logger().info(
             "started",
@@ -132,8 +137,8 @@
         )
         self._stopped.wait()
 
-    def _greet_seeds(self) -> None:
-        """Ping the configured seeds until this node knows others."""
+    def _ping_seeds(self) -> None:
+        """Ping the configured seeds until another node can be reached."""
         while len(self._node.nodes.usable()) <= 1:
             ping = wire.Ping(0, (self._node.nodes.me,))
             self._links.greet_seeds(ping)
@@ -144,7 +149,7 @@
 
     @coordinator.performs(actions.Leave)
     def leave(self, action: actions.Leave) -> None:
-        """Stop because an operator planned it."""
+        """Begin the stop of this node that an operator has planned."""
         self._begin_stop()
 
     def _begin_stop(self) -> None:
@@ -153,10 +158,12 @@
             eventlet.spawn_n(self._stop)
 
     def _stop(self) -> None:
-        """Leave: announce it, drain, give the leases back, end.
+        """Shut down gracefully.
 
-        Callers keep the addresses they were given for the ttl, so the
-        node goes on taking requests that long.
+        Announces the departure and releases the leases, drains the
+        requests, hands over the keys and exits. Callers keep the addresses
+        that they were given for `entries_ttl` seconds, so the node goes on
+        taking requests for that long.
         """
         log = structlog.get_logger().bind(node=self._settings.node.id)
         log.info("stopping")
@@ -167,42 +174,50 @@
         self._server.begin_close()
         self._await_requests(log)
         self._serving.kill()
-        self._hand_over(log)
+        self._hand_over_keys(log)
         log.info("stopped")
         self._links.close()
-        # Threads of the libraries must not hold the process up.
+        # Don't wait for threads of libraries, which may still be running.
         os._exit(0)
 
-    def _hand_over(self, log: typing.Any) -> None:
-        """Give the finished keys to a successor before the end."""
+    def _hand_over_keys(self, log: typing.Any) -> None:
+        """Hand over the idempotency keys to a successor.
+
+        Logs a warning if it does not have them in time.
+        """
         now = self._clock.now()
         self._core.perform(self._node.homes.hand_over(now))
         self._clock.touch()
-        deadline = now + _HAND_OVER_SECONDS
+        deadline = now + _HAND_OVER_TIMEOUT
         while not self._node.homes.is_handed_over:
             if self._clock.now() >= deadline:
                 log.warning("keys_not_handed_over")
                 return
-            eventlet.sleep(_IN_FLIGHT_POLL)
+            eventlet.sleep(_STOP_POLL_INTERVAL)
 
     def _await_requests(self, log: typing.Any) -> None:
-        """Wait for the requests in flight, however long they take.
+        """Wait until no request is in flight.
 
-        A stop cuts off no request; whoever is in a hurry sees here what
-        it waits for and decides.
+        There is no timeout, because a stop cuts off no request. The log
+        shows how many requests it waits for, so that an operator can
+        decide whether to kill the process.
         """
-        told = 0.0
+        last_logged = 0.0
         while self._server.in_flight:
-            if self._clock.now() >= told + _WAITING_INTERVAL:
-                told = self._clock.now()
+            if self._clock.now() >= last_logged + _WAIT_LOG_INTERVAL:
+                last_logged = self._clock.now()
                 log.info("waiting", requests=self._server.in_flight)
-            eventlet.sleep(_IN_FLIGHT_POLL)
+            eventlet.sleep(_STOP_POLL_INTERVAL)
 
 
 def run(settings: settings_module.Settings) -> None:
-    """Run one entry process; raises `CannotListen`."""
+    """Run one entry process.
+
+    Raises:
+        ListenError: An address of the settings cannot be listened on.
+    """
     logs.configure(settings.node)
     try:
         Daemon(settings).run()
     except (OSError, pynng.NNGException) as error:
-        raise CannotListen(str(error)) from error
+        raise ListenError(str(error)) from error
