--- a/currantwall/gateway.py
+++ b/currantwall/gateway.py
@@ -1,8 +1,9 @@
-"""The composition root of a gateway process.
+"""Composition root of a gateway process.
 
 A gateway serves callers' requests on a platform whose store holds the
-configuration and the list of instances. What speaks to that platform is
-handed in (`transport.ports`); everything else is wired here.
+configuration and the list of instances. The clients of that platform are
+passed in as implementations of `transport.ports`; all other parts are
+created and connected here.
 """
 
 from collections import abc
@@ -44,13 +45,16 @@
 
 __all__ = ["Gateway"]
 
-# Seconds between two rounds of housekeeping.
+# Seconds between two removals of outdated state.
 _SWEEP_INTERVAL = 1.0
-# Seconds of the grace that are left when the process ends by itself.
-_LAST_SECONDS = 0.4
-_POLL = 0.05
-# Seconds between two looks at whether a node that starts can serve.
-_START_POLL = 0.01
+# The process exits this many seconds before the end of the grace period, at
+# which it would be killed, even if requests are in flight.
+_EXIT_MARGIN = 0.4
+# Seconds between two checks of the requests in flight during a stop, and
+# before a failed task is run again.
+_POLL_INTERVAL = 0.05
+# Seconds between two checks of whether a node that starts can serve.
+_START_POLL_INTERVAL = 0.01
 
 
 class Gateway:
@@ -65,16 +69,16 @@
         make_engines: abc.Callable[[exchanges.Connections], ports.Engines],
         listener: socket.socket | None = None,
     ) -> None:
-        """Wire the parts.
+        """Create and connect the parts.
 
         Args:
-            settings: What the process is told of itself.
-            names: Headers of requests and answers.
-            documents: Decodes what the store holds.
-            make_store: Makes the client of the store.
-            make_engines: Makes what speaks to engines.
-            listener: Listens at the front address; opened by `run` where
-                the program has not done so.
+            settings: Settings of this process.
+            names: Names of the platform's HTTP headers.
+            documents: Decodes the objects of the store.
+            make_store: Creates the client of the store.
+            make_engines: Creates the client of engine instances.
+            listener: Socket that listens at the front address; if it is
+                None, `run` opens one.
         """
         self._settings = settings
         self._documents = documents
@@ -108,7 +112,7 @@
         self._forwarder = forwarding.Forwarder(
             self._sender, self._meter, self._log
         )
-        me = presence_module.NodeEntry(
+        own_entry = presence_module.NodeEntry(
             id=settings.node,
             datacentre=settings.datacentre,
             front=settings.front,
@@ -117,7 +121,7 @@
             incarnation=time.time_ns() // 1000,
             capacity=settings.capacity,
         )
-        self._presence = presence_module.Presence(me)
+        self._presence = presence_module.Presence(own_entry)
         self._configuration = configurations.ConfigurationFeed(
             self._store,
             documents,
@@ -193,7 +197,7 @@
             self._listener = listeners.open_listener(settings.front)
         self._listener = ingress.adopt(self._listener)
         self._front_task = ingress.start_server(self._listener, self._front)
-        for address, handler in self._list_servers().items():
+        for address, handler in self._get_handlers().items():
             ingress.start_server(
                 ingress.listen(address), self._make_ingress(handler)
             )
@@ -209,18 +213,21 @@
             self._open_front,
             self._sweep,
         ):
-            eventlet.spawn_n(self._keep, task)
+            eventlet.spawn_n(self._supervise, task)
         self._log.write("started", front=settings.front)
         self._stopped.wait()
 
     def _open_front(self) -> None:
-        """Let requests through once the node can serve them, or can't."""
+        """Let requests through once the node is ready.
+
+        If the store can't be reached, they are let through at once.
+        """
         while not self._is_ready and self._configuration.is_store_there:
-            eventlet.sleep(_START_POLL)
+            eventlet.sleep(_START_POLL_INTERVAL)
         self._forwarder.open()
 
-    def _list_servers(self) -> dict[str, ingress.Handler]:
-        """Return the handlers of the other addresses."""
+    def _get_handlers(self) -> dict[str, ingress.Handler]:
+        """Return the handlers of all addresses but the front, by address."""
         settings = self._settings
         return {
             settings.ready: self._answer_ready,
@@ -229,11 +236,11 @@
             settings.metrics: self._answer_metrics,
         }
 
-    def _keep(self, task: abc.Callable[[], None]) -> None:
-        """Run a task again if it fails.
+    def _supervise(self, task: abc.Callable[[], None]) -> None:
+        """Run a task, and run it again whenever it raises an exception.
 
-        Failure: a mistake in one task ends it, and the node goes on
-        serving from a view that never changes again.
+        Failure: an unexpected exception ends a task, and the node goes on
+        serving with state that is never updated again.
         """
         while not self._stopping:
             try:
@@ -243,17 +250,17 @@
                 self._log.write(
                     "task_failed",
                     task=getattr(task, "__qualname__", "?"),
-                    why=_describe(error),
+                    why=_format_error(error),
                 )
-                eventlet.sleep(_POLL)
+                eventlet.sleep(_POLL_INTERVAL)
 
     def _make_ingress(self, handler: ingress.Handler) -> ingress.Ingress:
         made = ingress.Ingress(handler, self._get_limits, self._now)
-        made.on_error = self._note_handler_error
+        made.on_error = self._log_handler_error
         return made
 
-    def _note_handler_error(self, error: Exception) -> None:
-        self._log.write("handler_failed", why=_describe(error))
+    def _log_handler_error(self, error: Exception) -> None:
+        self._log.write("handler_failed", why=_format_error(error))
 
     def _get_limits(self) -> routes.Limits:
         table = self._forwarder.table
@@ -268,34 +275,38 @@
         known = self._forwarder.is_known and self._fleet.is_known
         return known and not self._stopping
 
-    # -- Questions of the platform, callers and peers
+    # -- Handlers of the other addresses
 
     def _answer_ready(self, _: ingress.Inbound) -> ingress.Reply:
         status = 200 if self._is_ready else 503
         return ingress.Reply(status=status, headers=[], body=b"")
 
     def _answer_directory(self, inbound: ingress.Inbound) -> ingress.Reply:
-        """Tell a caller the addresses of nodes that take requests.
+        """Return the addresses of nodes that take requests.
 
-        Failure: a node that starts while the store is away knows nobody
-        and no configuration; callers that it gave its own address would
-        be refused there. Without an answer they ask another node.
+        Failure: a node that starts while the store is unreachable knows no
+        other node and no configuration; it sends callers to itself and
+        then refuses their requests. It answers 503 instead, and the
+        callers ask another node.
         """
         nodes = self._presence.list_ready(self._now())
         if self._is_ready:
             nodes.append(self._presence.me)
         if not nodes:
             return ingress.Reply(status=503, headers=[], body=b"")
-        given = directory.choose_addresses(nodes, inbound.caller)
+        addresses = directory.choose_addresses(nodes, inbound.caller)
         ttl = self._settings.address_ttl
-        return _answer_json(self._documents.encode_addresses(given, ttl))
+        return _answer_json(self._documents.encode_addresses(addresses, ttl))
 
     def _answer_peer(self, inbound: ingress.Inbound) -> ingress.Reply:
-        """Give a peer the newest configuration or list of instances."""
+        """Return the configuration, or changes of the list of instances.
+
+        A request for the configuration gets 503 while none is known.
+        """
         if inbound.path == peers.INSTANCES_PATH:
             since = peers.parse_since(inbound.target)
-            found = self._fleet_feed.list_changes(since)
-            body = peers.compress(msgspec.msgpack.encode(found))
+            changes = self._fleet_feed.list_changes(since)
+            body = peers.compress(msgspec.msgpack.encode(changes))
             return ingress.Reply(status=200, headers=[], body=body)
         if not self._configuration.document:
             return ingress.Reply(status=503, headers=[], body=b"")
@@ -308,13 +319,14 @@
             status=200, headers=headers, body=self._meter.render()
         )
 
-    # -- Housekeeping
+    # -- Removal of outdated state
 
     def _sweep(self) -> None:
+        """Periodically remove old counts and state of unlisted instances."""
         while True:
             eventlet.sleep(_SWEEP_INTERVAL)
             self._balancer.expire(self._now())
-            present = {one.id for one in self._fleet.all()}
+            present = {upstream.id for upstream in self._fleet.all()}
             self._connections.forget(present)
             self._sender.forget(present)
 
@@ -326,17 +338,18 @@
             eventlet.spawn_n(self._stop)
 
     def _on_reload(self, number: int, frame: typing.Any) -> None:
-        # The settings are read at the start only: a change of them takes
-        # effect when the process is started again.
+        # Settings are read only when the process starts: a change takes
+        # effect with the next start.
         self._log.write("reload_requested")
 
     def _close_front(self) -> None:
-        """Take no more requests.
+        """Stop taking requests.
 
-        Failure: a request that comes late in the grace is cut off with
-        the process. New connections are refused by the kernel, which
-        sends callers to another address; on old ones the answer says
-        that the request was not run.
+        Failure: a request that arrives late in the grace period is cut off
+        when the process exits. Therefore the kernel refuses new
+        connections from now on, which makes callers try another address,
+        and on open connections the answer says that the request was not
+        run.
         """
         if self._front_task is not None:
             self._listener.close()
@@ -345,26 +358,27 @@
             self._forwarder.is_closed = True
 
     def _stop(self) -> None:
-        """Leave: out of the addresses, drain, end.
+        """Shut down gracefully.
 
-        Callers keep the addresses they were given for a while, so the
-        node goes on taking requests that long, and closes each
+        Withdraws the node's address, drains the requests and exits.
+        Callers keep the addresses that they were given for a while, so the
+        node goes on taking requests for that long, and closes each
         connection with its next answer.
         """
-        began = self._now()
+        started = self._now()
         self._log.write("stopping", in_flight=self._front.in_flight)
         self._front.is_closing = True
         self._news.send()
         self._duties.stop()
         eventlet.spawn_n(self._nodes_feed.leave)
-        last = began + self._settings.grace - _LAST_SECONDS
-        quiet = began + self._settings.drain
-        while self._now() < last:
-            if self._now() >= quiet:
+        exit_deadline = started + self._settings.grace - _EXIT_MARGIN
+        drain_end = started + self._settings.drain
+        while self._now() < exit_deadline:
+            if self._now() >= drain_end:
                 self._close_front()
                 if not self._front.in_flight:
                     break
-            eventlet.sleep(_POLL)
+            eventlet.sleep(_POLL_INTERVAL)
         self._log.write("stopped", in_flight=self._front.in_flight)
         self._log.flush()
         os._exit(0)
@@ -375,11 +389,12 @@
     return ingress.Reply(status=200, headers=headers, body=body)
 
 
-def _describe(error: Exception) -> str:
-    place = error.__traceback__
-    while place is not None and place.tb_next is not None:
-        place = place.tb_next
-    line = place.tb_lineno if place else 0
-    file = place.tb_frame.f_code.co_filename if place else "?"
+def _format_error(error: Exception) -> str:
+    """Return type and message of an error, and the line that raised it."""
+    traceback = error.__traceback__
+    while traceback is not None and traceback.tb_next is not None:
+        traceback = traceback.tb_next
+    line = traceback.tb_lineno if traceback else 0
+    file = traceback.tb_frame.f_code.co_filename if traceback else "?"
     name = os.path.basename(file)
     return f"{type(error).__name__}: {error} ({name}:{line})"
