--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -116,8 +116,8 @@
         f"{_COORDINATION}/requests/attempts.py",
         "    return max(0.0, _START_HOLD - uptime)\n",
         "    return 0.0\n",
-        "tests.test_gateway.TroubleTest"
-        ".test_callers_that_come_at_once_to_a_node_that_starts_are_served",
+        "tests.test_gateway.FailureTest"
+        ".test_callers_are_served_while_a_node_starts",
     ),
     Mutant(
         "a leader that refuses is taken for gone",
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,7 +1,6 @@
-"""The whole path over processes: callers, gateways, store, servers.
+"""End-to-end tests with processes: callers, gateways, store and servers.
 
-No test here asserts how long something takes; the waits only bound a run
-that has gone wrong.
+No test here asserts a duration; timeouts only end a run that has failed.
 """
 
 import http.client
@@ -22,23 +21,24 @@
 from bench import fleet as fleet_module
 from bench import gateways
 
-_WAIT = 60.0
-# Seconds in which a slow stream makes all its events.
-_SLOW_EVENTS = 3.0
-# Seconds for which an instance that is gone is not tried again.
-_AVOIDED = 2.0
-# Seconds between two requests to it.
-_BETWEEN = 0.01
-# Requests whose lines fill a pipe; each writes 0.2 KB.
-_LINES = 500
+# Seconds within which an awaited condition must hold.
+_TIMEOUT = 60.0
+# Seconds in which a slow stream produces all its events.
+_SLOW_STREAM_SECONDS = 3.0
+# Seconds for which gateways avoid an instance that is gone.
+_AVOID_SECONDS = 2.0
+# Seconds between two requests while it is avoided.
+_REQUEST_INTERVAL = 0.01
+# Requests whose log lines, 0.2 KB each, fill a pipe.
+_PIPE_REQUESTS = 500
 _GOLDEN = pathlib.Path(__file__).parent / "golden" / "gateway_session.txt"
 _ENGINES = ("e1", "e2", "e3", "e4")
 _APPS = ("a1", "a2")
-_ids = itertools.count(1)
+_attempt_numbers = itertools.count(1)
 
 
 class Answer:
-    """Status, headers and body; `whole` where the body ended as framed."""
+    """Answer of a gateway; `whole` if the body is complete by its framing."""
 
     def __init__(self, status, headers, body, whole):
         self.status = status
@@ -55,7 +55,7 @@
         cls.fleet = gateways.Gateways()
         cls.addClassCleanup(cls.fleet.stop)
         cls.fleet.start_platform()
-        fleet_module.wait_until(cls.has_store, _WAIT, "store")
+        fleet_module.wait_until(cls.is_store_running, _TIMEOUT, "store")
         for name in _ENGINES:
             cls.fleet.start_upstream(name, "pool", "d0", "m")
         for name in _APPS:
@@ -65,19 +65,19 @@
             cls.fleet.start_gateway(name)
         for name in ("g1", "g2"):
             fleet_module.wait_until(
-                lambda name=name: cls.fleet.is_ready(name), _WAIT, name
+                lambda name=name: cls.fleet.is_ready(name), _TIMEOUT, name
             )
             fleet_module.wait_until(
-                lambda name=name: cls.serves(name), _WAIT, "replicas"
+                lambda name=name: cls.is_serving(name), _TIMEOUT, "replicas"
             )
 
     @classmethod
-    def has_store(cls):
+    def is_store_running(cls):
         address = cls.fleet.addresses["platform"]
         return cls.fleet.answers(f"http://{address}/currantwall/objects/x")
 
     @classmethod
-    def serves(cls, gateway):
+    def is_serving(cls, gateway):
         try:
             answer = cls.send("POST", "/stream/warm", gateway=gateway)
             plain = cls.send("GET", "/safe/warm", gateway=gateway)
@@ -97,10 +97,10 @@
         chunked=False,
         key=gateways.KEY,
     ):
-        """Send a request as a caller does and return its answer."""
+        """Send a request as callers do and return the answer."""
         host, _, port = cls.fleet.fronts[gateway].partition(":")
         connection = http.client.HTTPConnection(host, int(port), timeout=20)
-        attempt = attempt or f"attempt-{next(_ids)}"
+        attempt = attempt or f"attempt-{next(_attempt_numbers)}"
         sent = {"Host": gateways.HOST, "X-Attempt-Id": attempt}
         sent |= {"X-Deadline-Ms": "3000", "X-Model": "m"}
         if key:
@@ -127,7 +127,7 @@
             connection.close()
 
     def send_raw(self, data):
-        """Send bytes and return all that comes back."""
+        """Send bytes and return all bytes of the answer."""
         host, _, port = self.fleet.fronts["g1"].partition(":")
         with socket.create_connection((host, int(port)), 20) as raw:
             raw.sendall(data)
@@ -136,7 +136,7 @@
 
     def list_runs(self, attempt):
         found = self.fleet.list_runs(*_ENGINES, *_APPS)
-        return [one for one in found if one["attempt"] == attempt]
+        return [run for run in found if run["attempt"] == attempt]
 
 
 class PathTest(GatewayCase):
@@ -157,7 +157,7 @@
         (run,) = self.list_runs("key-1")
         self.assertEqual((run["tenant"], run["key"]), ("shop", None))
 
-    def test_who_may_not_is_told_so(self):
+    def test_unknown_keys_paths_and_hosts_are_refused(self):
         self.assertEqual(self.send("GET", "/safe/x", key="bad").status, 401)
         self.assertEqual(self.send("GET", "/safe/x", key="").status, 401)
         self.assertEqual(self.send("GET", "/none/x").status, 404)
@@ -171,10 +171,11 @@
         wide = self.send("GET", "/safe/x", headers={"X-Wide": "x" * 5000})
         self.assertEqual(wide.status, 431)
 
-    def test_requests_that_can_be_read_in_two_ways_are_refused(self):
-        """A request hidden in another one's body would run.
+    def test_ambiguous_requests_are_refused(self):
+        """Guards against request smuggling.
 
-        Two parsers differ on where a body ends.
+        If two parsers differ on where a body ends, a request hidden in the
+        body of another one runs.
         """
         head = b"POST /safe/s HTTP/1.1\r\nHost: shop.example\r\n"
         for framing in (
@@ -190,15 +191,15 @@
             self.assertTrue(data.startswith(b"HTTP/1.1 400"), framing)
             self.assertEqual(data.count(b"HTTP/1.1"), 1, framing)
 
-    def test_a_stream_comes_whole_and_in_order(self):
+    def test_a_stream_arrives_whole_and_in_order(self):
         answer = self.send("POST", "/stream/x", attempt="order-1")
         self.assertTrue(answer.whole)
         self.assertEqual(answer.body, make_events("order-1", range(1, 7)))
 
-    def test_a_broken_stream_goes_on_at_another_replica(self):
-        """The caller's note would stop halfway, or repeat a line.
+    def test_a_broken_stream_is_resumed_at_another_replica(self):
+        """Guards against streams that stop halfway or repeat an event.
 
-        A server resets its stream inside the fourth event.
+        A server resets its stream within the fourth event.
         """
         answer = self.send("POST", "/stream/reset3/x", attempt="resume-1")
         self.assertTrue(answer.whole)
@@ -207,7 +208,7 @@
         self.assertEqual({run["after"] for run in runs}, {None, "3"})
         self.assertEqual(len(runs), 2)
 
-    def test_a_broken_stream_that_cannot_be_resumed_ends_as_broken(self):
+    def test_a_broken_stream_that_cannot_be_resumed_ends_unfinished(self):
         answer = self.send("POST", "/once/reset3/x", attempt="once-1")
         self.assertFalse(answer.whole)
         self.assertEqual(answer.body, make_events("once-1", range(1, 4)))
@@ -220,7 +221,7 @@
         )
         self.assertEqual(answer.body, make_events("own-1", range(5, 7)))
 
-    def test_a_silent_server_is_given_up_for_another_one(self):
+    def test_a_request_to_a_silent_server_is_retried_at_another_one(self):
         for name in _APPS:
             target = f"/safe/hang-{name}/x"
             answer = self.send("GET", target, attempt=f"hang-{name}")
@@ -228,21 +229,21 @@
         runs = [len(self.list_runs(f"hang-{name}")) for name in _APPS]
         self.assertIn(2, runs)
 
-    def test_an_unsafe_request_runs_once_whatever_happens(self):
-        """A reorder would be billed twice.
+    def test_an_unsafe_request_is_not_retried_after_it_may_have_run(self):
+        """Guards against a retry that has an order billed twice.
 
-        The server runs it and its answer is reset, or never comes; the
-        caller must not be told that it was not run either.
+        The server runs the request, but its answer is reset or never
+        comes. The caller must not be told that it was not run either.
         """
-        for what in ("torn", "hang", "mute"):
-            attempt = f"unsafe-{what}"
+        for fault in ("torn", "hang", "mute"):
+            attempt = f"unsafe-{fault}"
             answer = self.send(
-                "POST", f"/unsafe/{what}/x", b"1", "g1", (), attempt
+                "POST", f"/unsafe/{fault}/x", b"1", "g1", (), attempt
             )
-            self.assertIn(answer.status, (502, 504), what)
-            self.assertEqual(len(self.list_runs(attempt)), 1, what)
+            self.assertIn(answer.status, (502, 504), fault)
+            self.assertEqual(len(self.list_runs(attempt)), 1, fault)
 
-    def test_what_no_server_runs_is_refused_as_not_run(self):
+    def test_a_request_that_no_server_runs_is_refused_as_not_run(self):
         answer = self.send("POST", "/unsafe/busy/x", b"1", attempt="busy-1")
         self.assertEqual(answer.status, 503)
         self.assertGreater(float(answer.headers["Retry-After"]), 0)
@@ -254,31 +255,33 @@
         self.assertEqual(answer.body, b"GET /safe/unframed/x ")
 
     def test_an_answer_that_a_reset_ends_is_not_whole(self):
-        """A caller would take half an answer for the whole one.
+        """Guards against passing on half an answer as the whole one.
 
         The answer has no length and ends with its connection, which the
-        server resets; eventlet reports the reset as an end.
+        server resets; eventlet reports the reset as the end of the data.
         """
         answer = self.send("GET", "/safe/torn/x")
         self.assertNotEqual(answer.status, 200)
 
-    def test_a_servers_own_failure_is_passed_on_as_it_is(self):
+    def test_an_error_of_the_server_is_passed_on_unchanged(self):
         answer = self.send("POST", "/unsafe/error/x", b"1", attempt="error-1")
         self.assertEqual(answer.status, 500)
         self.assertIn("seal.a", answer.headers["X-Server-Seal"])
         self.assertEqual(len(self.list_runs("error-1")), 1)
 
-    def test_callers_are_told_the_nodes_that_take_requests(self):
+    def test_the_directory_lists_the_nodes_that_take_requests(self):
         for name in ("g1", "g2"):
             url = f"http://{self.fleet.directories[name]}/"
             fleet_module.wait_until(
-                lambda url=url: len(self.ask_addresses(url)) == 2, _WAIT, url
+                lambda url=url: len(self.ask_addresses(url)) == 2,
+                _TIMEOUT,
+                url,
             )
             self.assertEqual(
                 self.ask_addresses(url), sorted(self.fleet.fronts.values())
             )
 
-    def test_counters_and_latencies_are_on_the_scrape_page(self):
+    def test_counters_and_latencies_are_on_the_metrics_page(self):
         self.send("GET", "/safe/x")
         host = self.fleet.fronts["g1"].partition(":")[0]
         page = self.fleet.http.request("GET", f"http://{host}:9464/metrics")
@@ -299,10 +302,10 @@
         body=strategies.binary(max_size=200),
         chunked=strategies.booleans(),
     )
-    def test_the_gateway_changes_nothing(
+    def test_requests_and_answers_are_passed_on_unchanged(
         self, method, path, query, body, chunked
     ):
-        """The answer is that of a server asked without the gateway."""
+        """Compares answers with those that the server gives directly."""
         target = f"/safe/{path}?{query}"
         sent = body if method in ("POST", "PUT") else None
         answer = self.send(
@@ -312,7 +315,7 @@
         self.assertEqual((answer.status, answer.body), (200, direct))
 
     def test_golden_session(self):
-        """The answers of one session, letter by letter."""
+        """Compares the answers of one session with the golden file."""
         steps = (
             ("GET", "/safe/catalogue?size=14%2fg", None),
             ("POST", "/unsafe/reorder", b"2 x titanium"),
@@ -335,30 +338,32 @@
         self.assertEqual("\n".join(lines), _GOLDEN.read_text().rstrip("\n"))
 
 
-class TroubleTest(GatewayCase):
-    def test_a_configuration_reaches_a_node_that_the_store_fails(self):
-        """A node would go on serving dropped routes.
+class FailureTest(GatewayCase):
+    def test_a_configuration_reaches_a_node_without_the_store(self):
+        """Guards against a node that goes on serving removed routes.
 
-        The store fails right after the change; a node that starts then
-        has only its peers to learn it from.
+        The store fails right after a change, so that a node which starts
+        then can get the configuration only from its peers.
         """
         routes = gateways.make_configuration(0)["routes"]
         added = dict(routes[2], name="new", pathPrefix="/new/")
         self.fleet.put_configuration(routes=[*routes, added])
         fleet_module.wait_until(
-            lambda: self.send("GET", "/new/x").status == 200, _WAIT, "route"
+            lambda: self.send("GET", "/new/x").status == 200, _TIMEOUT, "route"
         )
         self.fleet.kill("g2")
         self.fleet.set_store(down=True)
         self.addCleanup(self.fleet.set_store, down=False)
         self.fleet.start_gateway("g2")
-        fleet_module.wait_until(lambda: self.fleet.is_ready("g2"), _WAIT, "g2")
+        fleet_module.wait_until(
+            lambda: self.fleet.is_ready("g2"), _TIMEOUT, "g2"
+        )
         answer = self.send("GET", "/new/x", gateway="g2")
         self.assertEqual(answer.status, 200)
         self.fleet.set_store(down=False)
 
-    def test_callers_that_come_at_once_to_a_node_that_starts_are_served(self):
-        """After a restart of all nodes the first callers were refused."""
+    def test_callers_are_served_while_a_node_starts(self):
+        """Guards against refusing the first callers after all nodes restart."""
         self.fleet.kill("g2")
         self.fleet.start_gateway("g2")
 
@@ -368,16 +373,17 @@
             except ConnectionRefusedError:
                 return None
 
-        end = time.monotonic() + _WAIT
+        end = time.monotonic() + _TIMEOUT
         answer = send_first()
         while answer is None and time.monotonic() < end:
             answer = send_first()
         self.assertEqual(answer.status, 200)
 
-    def test_a_node_listens_before_it_has_loaded_anything(self):
-        """Each restart of all nodes refused callers until all was loaded.
+    def test_a_node_listens_before_it_loads_libraries(self):
+        """Guards against refusing callers until the libraries are loaded.
 
-        The libraries cannot be loaded here; the settings can be read.
+        All nodes restart at once. Here the settings can be read, but the
+        libraries cannot be loaded.
         """
         self.fleet.kill("g2")
         path = self.fleet.path / "g2.json"
@@ -386,7 +392,7 @@
             "import pathlib, runpy, sys\n"
             "sys.modules['eventlet'] = None\n"
             f"loaded = runpy.run_path({str(gateways.PROGRAM)!r})\n"
-            f"kept = loaded['_listen_early'](pathlib.Path({str(path)!r}))\n"
+            f"sock = loaded['_listen_early'](pathlib.Path({str(path)!r}))\n"
             "print('listens', flush=True)\n"
             "sys.stdin.read()\n"
         )
@@ -400,11 +406,11 @@
         self.assertEqual(process.stdout.readline(), b"listens\n")
         socket.create_connection((host, int(port)), 20).close()
 
-    def test_a_node_that_knows_nothing_sends_no_caller_to_itself(self):
-        """Callers were refused by a node that had just been added.
+    def test_a_node_without_configuration_sends_no_caller_to_itself(self):
+        """Guards against a new node that refuses callers sent by itself.
 
-        It starts while the store is away, at an address that no other
-        node knows, and is asked where to connect.
+        It starts while the store is down, at an address that no other node
+        knows, and is asked which nodes to connect to.
         """
         self.fleet.set_store(down=True)
         self.addCleanup(self.fleet.set_store, down=False)
@@ -419,15 +425,15 @@
                 return None
 
         fleet_module.wait_until(
-            lambda: get_status() is not None, _WAIT, "its start"
+            lambda: get_status() is not None, _TIMEOUT, "its start"
         )
         self.assertEqual(get_status(), 503)
 
-    def test_an_address_that_another_server_has_is_left_alone(self):
-        """Requests were refused although every other server was idle.
+    def test_an_address_that_another_server_has_is_avoided(self):
+        """Guards against refusals while every other server is idle.
 
-        A server is gone and its address has another one, which answers
-        421; the list of instances is old, for the store is away. The
+        A server is gone, and another one that answers 421 has its address.
+        The list of instances is old, because the store is unreachable. The
         entry looks idle, so it was chosen again and again.
         """
         entry = {"service": "app", "address": self.fleet.addresses["a1"]}
@@ -440,41 +446,41 @@
             self.fleet.http.request, "DELETE", f"{base}/objects/servers/a9"
         )
 
-        def count():
+        def count_misdirected():
             log = self.fleet.read_log("g1")
             self.assertNotIn("lines_dropped_before", log)
             return log.count('"why": "status 421"')
 
-        def meets_it():
+        def is_misdirected():
             self.send("GET", "/safe/x")
-            return count() > 0
+            return count_misdirected() > 0
 
-        fleet_module.wait_until(meets_it, _WAIT, "the first 421")
-        first = count()
-        end = time.monotonic() + _AVOIDED
+        fleet_module.wait_until(is_misdirected, _TIMEOUT, "the first 421")
+        first = count_misdirected()
+        end = time.monotonic() + _AVOID_SECONDS
         while time.monotonic() < end:
             self.send("GET", "/safe/x")
-            # The log keeps 300 lines a second and must keep all of these.
-            time.sleep(_BETWEEN)
-        self.assertLessEqual(count() - first, 2)
+            # The log drops lines above 300 a second; none may be dropped here.
+            time.sleep(_REQUEST_INTERVAL)
+        self.assertLessEqual(count_misdirected() - first, 2)
 
-    def test_a_log_that_nobody_reads_costs_no_request(self):
-        """Callers would wait for ever behind a full pipe.
+    def test_a_log_that_nobody_reads_blocks_no_request(self):
+        """Guards against requests that block on a full pipe.
 
-        Whoever collects the output stands still; a pipe takes 64 KB, and
-        these requests write more than that.
+        The process that collects the output has stopped reading; a pipe
+        holds 64 KB, and these requests write more than that.
         """
         self.fleet.start_gateway("g8", unread=True)
         self.addCleanup(self.fleet.kill, "g8")
-        fleet_module.wait_until(lambda: self.serves("g8"), _WAIT, "g8")
+        fleet_module.wait_until(lambda: self.is_serving("g8"), _TIMEOUT, "g8")
         statuses = {
             self.send("GET", "/safe/x", gateway="g8").status
-            for _ in range(_LINES)
+            for _ in range(_PIPE_REQUESTS)
         }
         self.assertEqual(statuses, {200})
 
     def test_a_lost_member_ends_its_replica_and_a_spare_joins(self):
-        """A caller gets whole answers while an instance is killed."""
+        """Guards against incomplete answers when an instance is killed."""
         self.fleet.start_upstream("e5", "pool", "d0", "m")
         self.fleet.kill("e1")
         self.addCleanup(self.fleet.restart_engine, "e1", "d0", "m")
@@ -484,12 +490,12 @@
                 self.assertTrue(answer.whole)
         fleet_module.wait_until(
             lambda: self.send("POST", "/stream/x").status == 200,
-            _WAIT,
+            _TIMEOUT,
             "served again",
         )
 
-    def test_work_ends_when_the_caller_leaves(self):
-        """A replica would go on writing for a caller that has gone.
+    def test_work_ends_when_the_caller_disconnects(self):
+        """Guards against replicas that work for callers that are gone.
 
         The caller closes its connection after the first event.
         """
@@ -499,37 +505,39 @@
         response.close()
         connection.close()
         fleet_module.wait_until(
-            lambda: '"leave-1"' in self.fleet.read_log("g1"), _WAIT, "its end"
+            lambda: '"leave-1"' in self.fleet.read_log("g1"),
+            _TIMEOUT,
+            "its end",
         )
         (before,) = self.list_runs("leave-1")
         self.assertLess(before["events"], 6)
-        time.sleep(_SLOW_EVENTS)
+        time.sleep(_SLOW_STREAM_SECONDS)
         (after,) = self.list_runs("leave-1")
-        # A server learns of it by its first write, and stops at the second.
+        # The server notices at its first write and stops at the second.
         self.assertLessEqual(after["events"], before["events"] + 2)
         self.assertLess(after["events"], 6)
 
-    def test_work_ends_when_the_caller_leaves_before_the_answer(self):
-        """A server would hold a slot for a caller that has gone."""
+    def test_work_ends_when_the_caller_disconnects_before_the_answer(self):
+        """Guards against slots that are held for callers that are gone."""
         connection = self.open("/safe/hang/x", "leave-2")
         fleet_module.wait_until(
-            lambda: self.list_runs("leave-2"), _WAIT, "its start"
+            lambda: self.list_runs("leave-2"), _TIMEOUT, "its start"
         )
         connection.close()
         fleet_module.wait_until(
             lambda: self.find_line("g1", "ended_early", "leave-2"),
-            _WAIT,
+            _TIMEOUT,
             "its end",
         )
         line = self.find_line("g1", "ended_early", "leave-2")
         self.assertTrue(line["left"])
         self.assertEqual(len(self.list_runs("leave-2")), line["sends"])
 
-    def test_all_gateways_killed_at_once_go_on_with_the_same_replicas(self):
-        """Every replica would be formed anew after a loss of power.
+    def test_all_gateways_killed_at_once_keep_the_same_replicas(self):
+        """Guards against forming every replica anew after a power failure.
 
-        All gateways are killed together; what lasts is the store and the
-        instances' own reports. No order is needed to serve again.
+        All gateways are killed at once; only the store and the reports of
+        the instances remain. No order is needed to serve again.
         """
         orders = self.count_orders()
         for name in ("g1", "g2"):
@@ -538,12 +546,12 @@
             self.fleet.start_gateway(name)
         for name in ("g1", "g2"):
             fleet_module.wait_until(
-                lambda name=name: self.serves(name), _WAIT, name
+                lambda name=name: self.is_serving(name), _TIMEOUT, name
             )
         self.assertEqual(self.count_orders(), orders)
 
     def count_orders(self):
-        """Return the orders that each engine has accepted."""
+        """Return the number of orders that each engine has accepted."""
         found = {}
         for name in _ENGINES:
             answer = self.fleet.request("GET", name, "/currantwall/report")
@@ -551,14 +559,14 @@
         return found
 
     def find_line(self, gateway, event, attempt):
-        """Return the line of a gateway's log about a request, if any."""
+        """Return a log event of a gateway about a request, or None."""
         for text in self.fleet.read_log(gateway).splitlines():
             if f'"event": "{event}"' in text and f'"{attempt}"' in text:
                 return msgspec.json.decode(text)
         return None
 
     def open(self, target, attempt):
-        """Send a request and return its connection, not yet answered."""
+        """Send a request and return its connection before the answer."""
         host, _, port = self.fleet.fronts["g1"].partition(":")
         connection = http.client.HTTPConnection(host, int(port), timeout=20)
         headers = {
@@ -571,17 +579,19 @@
         return connection
 
     def test_a_stop_cuts_off_no_request(self):
-        """A caller's stream would break in a planned stop."""
+        """Guards against streams that break in a planned stop."""
         connection = self.open("/stream/x", "stop-1")
         response = connection.getresponse()
         self.fleet.send_signal("g1", signal.SIGTERM)
         self.assertEqual(response.read(), make_events("stop-1", range(1, 7)))
         fleet_module.wait_until(
-            lambda: not self.fleet.is_ready("g1"), _WAIT, "not ready"
+            lambda: not self.fleet.is_ready("g1"), _TIMEOUT, "not ready"
         )
         self.assertEqual(self.fleet.wait("g1", 20.0), 0)
         self.fleet.start_gateway("g1")
-        fleet_module.wait_until(lambda: self.serves("g1"), _WAIT, "g1 again")
+        fleet_module.wait_until(
+            lambda: self.is_serving("g1"), _TIMEOUT, "g1 again"
+        )
 
 
 def make_events(attempt, numbers):
