--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""What the adapter makes of the platform's words, and of bad ones."""
+"""Tests how the adapter decodes the platform's documents and answers."""
 
 import pathlib
 import sys
@@ -105,7 +105,7 @@
 
 
 class SettingsTest(unittest.TestCase):
-    def test_a_process_learns_its_addresses(self):
+    def test_addresses_are_read_from_the_settings(self):
         found = settings.parse(msgspec.json.encode(SETTINGS)).ok_value
         gateway = found.gateway
         self.assertEqual(gateway.front, "10.1.0.40:8227")
@@ -114,13 +114,13 @@
         self.assertEqual(gateway.repeat_slack, 282)
         self.assertEqual(found.store, "10.200.1.7:8223")
 
-    def test_a_missing_field_is_named(self):
+    def test_an_error_names_the_missing_field(self):
         for field in ("nodeName", "listen", "internalPorts", "platform"):
             broken = {k: v for k, v in SETTINGS.items() if k != field}
             outcome = settings.parse(msgspec.json.encode(broken))
             self.assertIn(field, outcome.err_value)
 
-    def test_a_file_that_cannot_be_read_is_named(self):
+    def test_an_error_names_the_unreadable_file(self):
         outcome = settings.load(pathlib.Path("/nonexistent/settings.json"))
         self.assertIn("/nonexistent/settings.json", outcome.err_value)
 
@@ -130,7 +130,7 @@
         data = msgspec.json.encode(value)
         return documents.Documents().decode_configuration(data)
 
-    def test_routes_services_and_keys(self):
+    def test_routes_services_and_keys_are_decoded(self):
         found = self.decode(CONFIGURATION).ok_value
         stream, unsafe = found.routes
         self.assertEqual(found.version, 7)
@@ -152,7 +152,7 @@
         self.assertTrue(self.decode(value).is_ok())
 
     def test_an_unknown_kind_counts_as_unsafe(self):
-        """A request of a new kind must not run twice."""
+        """Guards against running a request of a new kind twice."""
         value = {**CONFIGURATION, "routes": [dict(CONFIGURATION["routes"][1])]}
         value["routes"][0]["kind"] = "novel"
         found = self.decode(value).ok_value
@@ -163,7 +163,7 @@
         found = self.decode(value).ok_value
         self.assertIsNone(found.organisations)
 
-    def test_what_cannot_be_read_is_said(self):
+    def test_an_unreadable_configuration_is_an_error(self):
         for data in (b"", b"{", b'{"version": "x"}', b"\xff"):
             outcome = documents.Documents().decode_configuration(data)
             self.assertTrue(outcome.is_err())
@@ -172,22 +172,22 @@
 class EntriesTest(unittest.TestCase):
     def decode(self, *values):
         stored = [
-            make_stored(f"i{place}", value)
-            for place, value in enumerate(values)
+            make_stored(f"i{number}", value)
+            for number, value in enumerate(values)
         ]
         return documents.Documents().decode_upstreams(stored)
 
-    def test_an_entry_tells_the_seat(self):
+    def test_the_seat_is_read_from_the_entry(self):
         (found,) = self.decode(ENTRY)
         self.assertEqual(found.id, "i0")
         self.assertEqual(found.domain, "a-d0")
         self.assertIs(found.seat.phase, upstreams.Phase.READY)
 
-    def test_the_entrys_write_count_is_no_count_of_orders(self):
-        """No replica would ever be formed.
+    def test_the_write_count_of_an_entry_is_no_order_count(self):
+        """Guards against replicas that are never formed.
 
-        The entry's `seq` counts its writes; as the number of orders it
-        makes every order be refused.
+        The entry's `seq` counts writes of the entry. Taken for the number
+        of accepted orders, it causes every order to be refused.
         """
         (found,) = self.decode(ENTRY)
         self.assertIsNone(found.sequence)
@@ -196,8 +196,8 @@
         (found,) = self.decode({**ENTRY, "state": "draining"})
         self.assertTrue(found.leaving)
 
-    def test_an_unreadable_entry_hides_no_other(self):
-        """All servers would vanish with one entry of another writer."""
+    def test_an_unreadable_entry_does_not_hide_others(self):
+        """Guards against losing all servers by one bad entry."""
         bad = (
             {**ENTRY, "address": 7},
             {**ENTRY, "address": "nowhere"},
@@ -208,7 +208,7 @@
             [],
         )
         found = self.decode(*bad, ENTRY)
-        self.assertEqual([one.id for one in found], [f"i{len(bad)}"])
+        self.assertEqual([server.id for server in found], [f"i{len(bad)}"])
 
     @hypothesis.settings(
         max_examples=200, deadline=None, derandomize=True, database=None
@@ -233,11 +233,11 @@
             ).map(msgspec.json.encode),
         )
     )
-    def test_no_entry_raises(self, data):
+    def test_no_entry_raises_an_error(self, data):
         stored = ports.StoredObject("i", 1, data)
         good = make_stored("good", ENTRY)
         found = documents.Documents().decode_upstreams([stored, good])
-        self.assertIn("good", [one.id for one in found])
+        self.assertIn("good", [server.id for server in found])
 
 
 class EnginesTest(unittest.TestCase):
@@ -252,11 +252,11 @@
         with mock.patch.object(client, "send", **answer):
             return self.engines.report(self.upstream, fresh)
 
-    def test_a_probe_after_a_miss_asks_for_a_new_connection(self):
-        """A sound replica would be taken apart.
+    def test_a_probe_after_a_missed_one_uses_a_new_connection(self):
+        """Guards against dissolving a healthy replica.
 
-        Connections that rested fall silent together, and both probes of
-        an instance go over one of them.
+        Idle connections stop responding all at once, and both probes of an
+        instance go over one of them.
         """
         self.report(True, side_effect=TimeoutError())
         self.connections.take.assert_called_with(
@@ -272,10 +272,10 @@
         self.assertIs(found, knowledge.ProbeResult.SILENT)
         self.connections.give_back.assert_not_called()
 
-    def test_a_pace_that_cannot_be_read_loses_no_report(self):
-        """A sound server would look silent, and its replica broken."""
-        for told, pace in ((b"12.0", 12.0), (b'"x"', 1.0), (b"null", 1.0)):
-            answer = client.Answer(200, b'{"pace":' + told + b"}", 3.0)
+    def test_an_unreadable_pace_does_not_invalidate_the_report(self):
+        """Guards against a healthy server that counts as silent."""
+        for value, pace in ((b"12.0", 12.0), (b'"x"', 1.0), (b"null", 1.0)):
+            answer = client.Answer(200, b'{"pace":' + value + b"}", 3.0)
             found = self.report(False, return_value=answer)
             self.assertEqual(found.pace, pace)
 
