--- a/currantwall/protocol/codec.py
+++ b/currantwall/protocol/codec.py
@@ -1,4 +1,4 @@
-"""Peer messages as bytes: a tag that proves the key, then msgpack."""
+"""Peer messages as bytes: a message authentication code, then msgpack."""
 
 import hashlib
 import hmac
@@ -11,11 +11,12 @@
 
 __all__ = ["Codec"]
 
-_TAG_BYTES = 16
+# HMAC-SHA-256, truncated.
+_MAC_BYTES = 16
 
 
 class Codec:
-    """Encodes and checks envelopes under the shared key."""
+    """Encodes, authenticates and decodes envelopes with a shared key."""
 
     def __init__(self, key: str) -> None:
         self._key = key.encode()
@@ -23,28 +24,28 @@
         self._decoder = msgspec.msgpack.Decoder(wire.Envelope)
 
     def encode(self, envelope: wire.Envelope) -> bytes:
-        """Return the bytes of an envelope."""
+        """Return an envelope's authentication code and encoded body."""
         body = self._encoder.encode(envelope)
-        return self._tag(body) + body
+        return self._compute_mac(body) + body
 
     def decode(
         self, data: bytes
     ) -> result.Result[wire.Envelope, errors.CallError]:
-        """Return the envelope in some bytes, if the key is right."""
-        tag, body = data[:_TAG_BYTES], data[_TAG_BYTES:]
-        if not hmac.compare_digest(tag, self._tag(body)):
-            return result.Err(_fail("wrong key"))
+        """Return the envelope, or an error if the code or body is invalid."""
+        mac, body = data[:_MAC_BYTES], data[_MAC_BYTES:]
+        if not hmac.compare_digest(mac, self._compute_mac(body)):
+            return result.Err(_make_error("wrong key"))
         try:
             return result.Ok(self._decoder.decode(body))
         except msgspec.MsgspecError as error:
-            return result.Err(_fail(str(error)))
+            return result.Err(_make_error(str(error)))
 
-    def _tag(self, body: bytes) -> bytes:
+    def _compute_mac(self, body: bytes) -> bytes:
         digest = hmac.digest(self._key, body, hashlib.sha256)
-        return digest[:_TAG_BYTES]
+        return digest[:_MAC_BYTES]
 
 
-def _fail(detail: str) -> errors.CallError:
+def _make_error(detail: str) -> errors.CallError:
     return errors.CallError(
         errors.Step.DECODE, "peer", errors.Failure.MALFORMED, detail
     )
--- a/currantwall/protocol/errors.py
+++ b/currantwall/protocol/errors.py
@@ -1,4 +1,4 @@
-"""Errors of calls to other processes: at which step, with which peer."""
+"""Errors of calls to other processes: peer, step and kind of failure."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class Step(enum.Enum):
-    """How far a call had come when it failed."""
+    """The step at which a call failed."""
 
     CONNECT = "connect"
     SEND = "send"
@@ -18,7 +18,7 @@
 
 
 class Failure(enum.Enum):
-    """What went wrong."""
+    """How a call failed."""
 
     REFUSED = "refused"
     TIMEOUT = "timeout"
@@ -44,6 +44,6 @@
     def may_have_run(self) -> bool:
         """Return whether the peer may have acted on the call.
 
-        Only a call whose connection was never made has sent no byte.
+        Only a call that failed to connect is known to have sent nothing.
         """
         return self.step is not Step.CONNECT
--- a/currantwall/protocol/events.py
+++ b/currantwall/protocol/events.py
@@ -1,8 +1,8 @@
-"""Event streams, cut at event boundaries.
+"""Streams of server-sent events, split at event boundaries.
 
-Only whole events are passed on. When an upstream breaks off inside an
-event, the part is dropped and another upstream sends that event again,
-so the caller gets each event once.
+Only complete events are passed on. If an upstream fails in the middle of
+an event, the incomplete event is dropped and another upstream sends it
+again, so the caller gets each event once.
 """
 
 import re
@@ -11,43 +11,48 @@
 
 __all__ = ["Event", "Splitter"]
 
-# An empty line ends an event; servers end lines in either way.
-_END = re.compile(rb"\r?\n\r?\n")
-_ID = b"id:"
+# An empty line ends an event; servers end lines with LF or CRLF.
+_EVENT_END = re.compile(rb"\r?\n\r?\n")
+_ID_FIELD = b"id:"
 
 
 class Event(msgspec.Struct, frozen=True):
-    """One whole event with its end mark, byte for byte."""
+    """A complete event.
+
+    Attributes:
+        id: Its ``id`` field; empty if it has none.
+        data: Its bytes as received, including the empty line.
+    """
 
     id: str
     data: bytes
 
 
 class Splitter:
-    """Cuts a stream of bytes into events."""
+    """Splits a stream of bytes into events."""
 
     def __init__(self) -> None:
-        self._held = b""
+        self._buffer = b""
 
     @property
     def rest(self) -> bytes:
-        """Return what is held of an event that has not ended."""
-        return self._held
+        """Return the bytes after the last complete event."""
+        return self._buffer
 
     def feed(self, data: bytes) -> list[Event]:
-        """Return the events that are whole now."""
-        self._held += data
-        found = []
-        while (mark := _END.search(self._held)) is not None:
-            whole = self._held[: mark.end()]
-            self._held = self._held[mark.end() :]
-            found.append(Event(_find_id(whole), whole))
-        return found
+        """Add data to the buffer; return the events that it completes."""
+        self._buffer += data
+        complete = []
+        while (match := _EVENT_END.search(self._buffer)) is not None:
+            event = self._buffer[: match.end()]
+            self._buffer = self._buffer[match.end() :]
+            complete.append(Event(_find_id(event), event))
+        return complete
 
 
 def _find_id(event: bytes) -> str:
-    """Return the id of an event, empty if it has none."""
+    """Return the id of an event; empty if it has none."""
     for line in event.split(b"\n"):
-        if line.startswith(_ID):
-            return line[len(_ID) :].strip().decode("latin-1")
+        if line.startswith(_ID_FIELD):
+            return line[len(_ID_FIELD) :].strip().decode("latin-1")
     return ""
--- a/currantwall/protocol/http.py
+++ b/currantwall/protocol/http.py
@@ -1,8 +1,8 @@
-"""What callers see: headers, statuses, error bodies.
+"""HTTP responses to callers: headers, status codes, error bodies.
 
-Every refusal has a status, a reason and, where a later try may succeed,
-``Retry-After``. Whether a request ran is said in the status, in the
-``Currantwall-Outcome`` header and in the body.
+Every refusal has a status code, a reason and, where a later attempt may
+succeed, ``Retry-After``. Whether the request ran shows in the status
+code, in the ``Currantwall-Outcome`` header and in the body.
 """
 
 from collections import abc
@@ -39,7 +39,7 @@
 
 
 class Response(msgspec.Struct):
-    """An answer to a caller; the body is bytes or yields them."""
+    """A response to a caller; an iterator as body is a stream."""
 
     status: int
     headers: Headers
@@ -47,7 +47,7 @@
 
 
 class ErrorBody(msgspec.Struct, omit_defaults=True):
-    """The JSON of an error, in the shape OpenAI clients know."""
+    """The JSON of an error, in the format that OpenAI clients expect."""
 
     type: str
     message: str
@@ -75,7 +75,16 @@
     outcome: homes.Outcome = homes.Outcome.NOT_RUN,
     retry_after: float = 0.0,
 ) -> Response:
-    """Return an error response."""
+    """Return an error response.
+
+    Args:
+        status: Status code.
+        reason: Error code in the body.
+        message: Explanation for the caller.
+        outcome: Whether the request ran.
+        retry_after: Seconds until a later attempt may succeed; 0 for no
+            ``Retry-After``.
+    """
     extra: Headers = ((OUTCOME_HEADER, outcome.value),)
     if retry_after > 0:
         seconds = str(math.ceil(retry_after))
@@ -85,12 +94,12 @@
 
 
 def make_event(reason: str, message: str) -> bytes:
-    """Return the event that ends a stream which could not be finished."""
+    """Return the error event that ends a stream cut short."""
     body = _Wrapped(ErrorBody(reason, message))
     return b"event: error\ndata: " + msgspec.json.encode(body) + b"\n\n"
 
 
-_REFUSALS = {
+_REFUSAL_STATUSES = {
     routing.RefusalReason.UNKNOWN_TARGET: http.HTTPStatus.NOT_FOUND,
     routing.RefusalReason.RATE: http.HTTPStatus.TOO_MANY_REQUESTS,
 }
@@ -99,15 +108,15 @@
 def from_refusal(
     refusal: routing.Refusal, may_have_run: bool = False
 ) -> Response:
-    """Return the response for a request that is sent nowhere.
+    """Return the response to a refused request.
 
     Args:
-        refusal: Why it is not sent.
+        refusal: Why the request is refused.
         may_have_run: Whether an earlier attempt may have run.
     """
     outcomes = homes.Outcome
     unavailable = http.HTTPStatus.SERVICE_UNAVAILABLE
-    status = _REFUSALS.get(refusal.reason, unavailable)
+    status = _REFUSAL_STATUSES.get(refusal.reason, unavailable)
     return fail(
         status,
         refusal.reason.value,
@@ -120,7 +129,13 @@
 def from_answer(
     answer: homes.StoredAnswer, attempts: int, replayed: bool = False
 ) -> Response:
-    """Return the response for a whole answer of an upstream."""
+    """Return the response for an upstream's complete answer.
+
+    Args:
+        answer: The answer.
+        attempts: Attempts that the request took.
+        replayed: Whether the answer is a stored one of an earlier call.
+    """
     extra: Headers = (
         (OUTCOME_HEADER, homes.Outcome.DONE.value),
         (ATTEMPTS_HEADER, str(attempts)),
@@ -131,7 +146,7 @@
 
 
 def from_decision(decision: homes.Decision) -> Response:
-    """Return the response for a keyed call that is not dispatched."""
+    """Return the response to a call with a key that is not dispatched."""
     kinds = homes.DecisionKind
     if decision.kind is kinds.REPLAY and decision.answer is not None:
         return from_answer(decision.answer, 1, replayed=True)
@@ -142,13 +157,13 @@
             "the call ran; its answer was too large to be kept",
             homes.Outcome.DONE,
         )
-    table = {
+    responses = {
         kinds.IN_PROGRESS: (http.HTTPStatus.CONFLICT, "in_progress"),
         kinds.MISMATCH: (http.HTTPStatus.UNPROCESSABLE_ENTITY, "key_reused"),
         kinds.NOT_RUN: (http.HTTPStatus.SERVICE_UNAVAILABLE, "not_bound"),
     }
     unknown = (http.HTTPStatus.BAD_GATEWAY, "outcome_unknown")
-    status, reason = table.get(decision.kind, unknown)
+    status, reason = responses.get(decision.kind, unknown)
     refused = decision.kind in (kinds.NOT_RUN, kinds.MISMATCH)
     outcome = homes.Outcome.NOT_RUN if refused else homes.Outcome.UNKNOWN
     return fail(status, reason, decision.reason, outcome, decision.retry_after)
--- a/currantwall/protocol/names.py
+++ b/currantwall/protocol/names.py
@@ -1,6 +1,7 @@
 """Header names that the platform's adapter gives to the transport.
 
-The product knows what a header means, the adapter how it is spelled.
+The transport knows what each header means; the adapter knows its name on
+the platform.
 """
 
 import msgspec
@@ -9,20 +10,21 @@
 
 
 class HeaderNames(msgspec.Struct, frozen=True, kw_only=True):
-    """Spelling of the headers that the transport reads or sets.
+    """Names of the headers that the transport reads or sets.
 
     Attributes:
         attempt: Id of one attempt of a caller; upstreams echo it.
-        budget: Milliseconds that the sender will still wait.
+        budget: Milliseconds that the sender will still wait (a duration,
+            not a point in time).
         instance: Id of the upstream that a request is meant for.
-        organisation: Organisation that holds the caller's key.
+        organisation: Organisation to which the caller's key belongs.
         not_run: Set by an upstream that did not run the request.
         seal: Upstream's signature of its answer.
         model: Model that a request asks for.
-        last_event: Id of the last event a caller has of a stream.
-        load: Requests in work at an upstream.
-        faulty: Member of a replica that kept a request from running.
-        priority: Rank of a request at an upstream, 0 first.
+        last_event: Id of the last event that a caller got of a stream.
+        load: Number of requests in progress at an upstream.
+        faulty: Replica member that prevented a request from running.
+        priority: Priority of a request at an upstream; 0 is the highest.
     """
 
     attempt: str
--- a/currantwall/protocol/operators.py
+++ b/currantwall/protocol/operators.py
@@ -1,4 +1,4 @@
-"""What the operators' tool and an entry process tell each other."""
+"""Messages between the operators' tool and an entry process."""
 
 import msgspec
 
@@ -24,14 +24,18 @@
 
 
 class ProfileView(msgspec.Struct):
-    """A profile and its version; no profile when it does not exist."""
+    """A profile and its version; `profile` is None if it does not exist."""
 
     version: int
     profile: profile_module.Profile | None = None
 
 
 class StopView(msgspec.Struct):
-    """A planned stop and how far it has come."""
+    """A planned stop and its progress.
+
+    Attributes:
+        waiting: What it waits for; empty if it has finished.
+    """
 
     version: int
     stop: stops_module.Stop
@@ -40,7 +44,11 @@
 
 
 class EditAnswer(msgspec.Struct):
-    """How an edit ended."""
+    """The outcome of an edit.
+
+    Attributes:
+        missing: Nodes on which a stored edit is not yet in force.
+    """
 
     outcome: edits.EditOutcome
     version: int = 0
@@ -71,14 +79,14 @@
 
 
 class ForecastBasis(msgspec.Struct):
-    """What the forecast rests on, as one entry knows it."""
+    """The data for a forecast, as one entry knows it."""
 
     standings: list[forecast.Standing]
     uses: list[usage.Use]
 
 
 class Status(msgspec.Struct):
-    """What one entry knows."""
+    """Members, profiles and fabric domains, as one entry sees them."""
 
     node: str
     ready: bool
--- a/currantwall/protocol/platform.py
+++ b/currantwall/protocol/platform.py
@@ -4,9 +4,9 @@
 ``GET /v1/objects/KIND/NAME``     one object
 ``PUT /v1/objects/KIND/NAME``     conditional on ``expected``
 ``DELETE /v1/objects/KIND/NAME``  conditional on ``expected``
-``GET /v1/watch``                 changes after ``since``; waits
-``GET /v1/instances``             live and leaving instances; 304 while
-                                  still at revision ``since``
+``GET /v1/watch``                 changes after ``since``; waits for one
+``GET /v1/instances``             live and leaving instances; 304 if the
+                                  revision is still ``since``
 """
 
 import msgspec
@@ -29,13 +29,14 @@
     "encode_listing",
 ]
 
+# Status codes.
 NOT_MODIFIED = 304
 CONFLICT = 412
 GONE = 410
 
 
 class Object(msgspec.Struct, omit_defaults=True):
-    """One object on the wire; without a value it is deleted."""
+    """An object on the wire; a deleted object has the value null."""
 
     kind: str
     name: str
@@ -44,65 +45,70 @@
 
 
 class Listing(msgspec.Struct):
-    """Objects as of a revision."""
+    """Objects at a revision of the store."""
 
     revision: int
     objects: list[Object]
 
 
 class Listed(msgspec.Struct):
-    """One line of the instance list, with its version."""
+    """An instance of the instance list and its version."""
 
     version: int
     instance: instances.Instance
 
 
 class Instances(msgspec.Struct):
-    """The instance list as of a revision."""
+    """The instance list at a revision."""
 
     revision: int
     instances: list[Listed]
 
 
 def encode_listing(revision: int, stored: list[objects.Stored]) -> bytes:
-    """Return the JSON of some objects."""
-    found = [
+    """Return the JSON of a listing."""
+    listed = [
         Object(
-            one.key.kind,
-            one.key.name,
-            one.version,
-            msgspec.Raw(one.value or b"null"),
+            item.key.kind,
+            item.key.name,
+            item.version,
+            msgspec.Raw(item.value or b"null"),
         )
-        for one in stored
+        for item in stored
     ]
-    return msgspec.json.encode(Listing(revision, found))
+    return msgspec.json.encode(Listing(revision, listed))
 
 
 def decode_listing(
     data: bytes,
 ) -> tuple[ids.Version, tuple[objects.Stored, ...]]:
-    """Return revision and objects of a listing's JSON."""
+    """Return the revision and the objects in a listing's JSON."""
     listing = msgspec.json.decode(data, type=Listing)
-    found = []
-    for one in listing.objects:
-        value = bytes(one.value)
-        found.append(
+    stored = []
+    for item in listing.objects:
+        value = bytes(item.value)
+        stored.append(
             objects.Stored(
-                objects.ObjectKey(one.kind, one.name),
-                ids.Version(one.version),
+                objects.ObjectKey(item.kind, item.name),
+                ids.Version(item.version),
                 b"" if value == b"null" else value,
             )
         )
-    return ids.Version(listing.revision), tuple(found)
+    return ids.Version(listing.revision), tuple(stored)
 
 
 def decode_instances(
     call: ids.CallId, data: bytes
 ) -> messages.InstancesListed:
-    """Return the message for an instance list's JSON."""
+    """Return the instance list in a JSON body as a message.
+
+    Args:
+        call: Id of the call that the body answers.
+        data: The body.
+    """
     body = msgspec.json.decode(data, type=Instances)
     listed = tuple(
-        (one.instance, ids.Version(one.version)) for one in body.instances
+        (item.instance, ids.Version(item.version)) for item in body.instances
     )
     status = messages.PlatformStatus.OK
     revision = ids.Version(body.revision)
--- a/currantwall/protocol/signing.py
+++ b/currantwall/protocol/signing.py
@@ -1,7 +1,7 @@
 """Signatures of operators' calls.
 
-The signature covers time, method, path and body under the shared key, so
-that the key itself never travels.
+A signature is an HMAC of time, method, path and body with the shared key,
+so the key itself is never sent.
 """
 
 import hashlib
@@ -10,8 +10,8 @@
 __all__ = ["HEADER", "sign", "verify"]
 
 HEADER = "Currantwall-Signature"
-# A signature is taken for this many seconds before and after its time.
-_WINDOW = 300.0
+# Seconds that a signature's time may differ from the verifier's clock.
+_MAX_TIME_DIFFERENCE = 300.0
 
 
 def sign(key: str, at: float, method: str, path: str, body: bytes) -> str:
@@ -24,21 +24,35 @@
         path: Path with its query.
         body: Request body.
     """
-    stamp = str(int(at))
-    return f"{stamp}:{_digest(key, stamp, method, path, body)}"
+    timestamp = str(int(at))
+    return f"{timestamp}:{_compute_mac(key, timestamp, method, path, body)}"
 
 
 def verify(
     key: str, value: str, now: float, method: str, path: str, body: bytes
 ) -> bool:
-    """Return whether a header value is right for a call."""
-    stamp, _, given = value.partition(":")
-    if not stamp.isdecimal() or abs(now - int(stamp)) > _WINDOW:
+    """Return whether a header value is a valid signature of a call.
+
+    Args:
+        key: The shared key.
+        value: Value of the header; empty if it is missing.
+        now: Seconds since the Unix epoch.
+        method: HTTP method.
+        path: Path with its query.
+        body: Request body.
+    """
+    timestamp, _, signature = value.partition(":")
+    if (
+        not timestamp.isdecimal()
+        or abs(now - int(timestamp)) > _MAX_TIME_DIFFERENCE
+    ):
         return False
-    wanted = _digest(key, stamp, method, path, body)
-    return hmac.compare_digest(wanted, given)
+    expected = _compute_mac(key, timestamp, method, path, body)
+    return hmac.compare_digest(expected, signature)
 
 
-def _digest(key: str, stamp: str, method: str, path: str, body: bytes) -> str:
-    head = f"{stamp}\n{method}\n{path}\n".encode()
-    return hmac.digest(key.encode(), head + body, hashlib.sha256).hex()
+def _compute_mac(
+    key: str, timestamp: str, method: str, path: str, body: bytes
+) -> str:
+    prefix = f"{timestamp}\n{method}\n{path}\n".encode()
+    return hmac.digest(key.encode(), prefix + body, hashlib.sha256).hex()
--- a/currantwall/protocol/upstream.py
+++ b/currantwall/protocol/upstream.py
@@ -1,4 +1,4 @@
-"""What is said to upstreams: reports, orders, calls, over HTTP."""
+"""Reports and orders of upstreams, as JSON over HTTP."""
 
 import msgspec
 
@@ -18,8 +18,8 @@
 REPORT_PATH = "/v1/report"
 ORDERS_PATH = "/v1/orders"
 
-_FENCED = 409
-_OK = 200
+_FENCED_STATUS = 409
+_OK_STATUS = 200
 
 
 def decode_report(data: bytes) -> instances.Report:
@@ -38,9 +38,9 @@
 
 
 def map_order_status(status: int) -> messages.OrderOutcome:
-    """Return what an engine's status says about an order."""
-    if status == _OK:
+    """Return the outcome of an order from an engine's status code."""
+    if status == _OK_STATUS:
         return messages.OrderOutcome.TAKEN
-    if status == _FENCED:
+    if status == _FENCED_STATUS:
         return messages.OrderOutcome.FENCED
     return messages.OrderOutcome.REFUSED
