--- a/currantwall/cli/causes.py
+++ b/currantwall/cli/causes.py
@@ -1,7 +1,7 @@
-"""``currantwall causes``: how all requests of some logs ended.
+"""``currantwall causes``: how all requests in a set of logs ended.
 
-What an operator asks before going after a single request: how many were
-late, refused or failed, and for which reasons.
+It counts how many requests were late, refused or failed, and for which
+reasons, so that an operator knows which ones to ``explain``.
 """
 
 import collections
@@ -15,17 +15,19 @@
 __all__ = ["Share", "count_causes"]
 
 _LATE = "late"
-# Words for what made an answer late where nothing else is known.
-_LATENESS = {"first": "slow first event", "pause": "long pause"}
+# Details of a late answer whose request was neither sent again nor queued,
+# by the field `late` of its last log line.
+_LATENESS_DETAILS = {"first": "slow first event", "pause": "long pause"}
 
 
 class Share(msgspec.Struct, frozen=True):
-    """Requests that ended alike.
+    """The requests that ended with the same cause and detail.
 
     Attributes:
-        cause: How they ended; `late` where they were served too late.
-        detail: Why, in a few words.
-        share: Part of all requests.
+        cause: How they ended; `late` if they were served too late.
+        detail: Why, in a few words; empty if the cause says it all.
+        requests: Their number.
+        share: Their fraction of all requests.
     """
 
     cause: str
@@ -35,15 +37,16 @@
 
 
 def count_causes(lines: abc.Sequence[explanations.Line]) -> list[Share]:
-    """Return how requests ended, the most frequent cause first."""
+    """Return how requests ended, most frequent cause and detail first."""
     by_request: dict[str, list[explanations.Line]] = {}
     for line in lines:
         request = line.fields.get("request")
         if request:
             by_request.setdefault(request, []).append(line)
-    lost = [line for line in lines if line.event == "instance_lost"]
+    losses = [line for line in lines if line.event == "instance_lost"]
     counts = collections.Counter(
-        _classify(own, lost) for own in by_request.values()
+        _classify(request_lines, losses)
+        for request_lines in by_request.values()
     )
     total = max(len(by_request), 1)
     return [
@@ -53,46 +56,50 @@
 
 
 def _classify(
-    own: abc.Sequence[explanations.Line],
-    lost: abc.Sequence[explanations.Line],
+    request_lines: abc.Sequence[explanations.Line],
+    losses: abc.Sequence[explanations.Line],
 ) -> tuple[str, str]:
     """Return the cause and detail of one request."""
-    cause, _ = explanations.find_cause(own, lost)
-    end = own[-1].fields
+    cause, _ = explanations.find_cause(request_lines, losses)
+    end = request_lines[-1].fields
     if cause is explanations.Cause.SERVED:
         if not end.get("late"):
             return cause.value, ""
-        return _LATE, _explain_lateness(own)
+        return _LATE, _explain_lateness(request_lines)
     if cause is explanations.Cause.REFUSED:
         return cause.value, str(end.get("why", ""))
     return cause.value, ""
 
 
-def _explain_lateness(own: abc.Sequence[explanations.Line]) -> str:
+def _explain_lateness(
+    request_lines: abc.Sequence[explanations.Line],
+) -> str:
     """Return why a request was served too late."""
-    failures = [line for line in own if line.event == "attempt_failed"]
+    failures = [
+        line for line in request_lines if line.event == "attempt_failed"
+    ]
     if failures:
         return f"sent again: {failures[0].fields['failure']}"
-    if any(line.event == "placed" for line in own):
+    if any(line.event == "placed" for line in request_lines):
         return "waited for a place"
-    return _LATENESS.get(own[-1].fields["late"], "slow")
+    return _LATENESS_DETAILS.get(request_lines[-1].fields["late"], "slow")
 
 
 def show_causes(
     logs: explanations.Logs,
     json: explanations.Json = False,
 ) -> None:
-    """Tell how all requests ended, by cause.
+    """Count requests by how they ended and why.
 
     Example: currantwall causes logs/*.log
     """
     lines = explanations.read_lines(explanations.read_files(logs))
-    found = count_causes(lines)
+    shares = count_causes(lines)
     if json:
-        output.print_json(found)
+        output.print_json(shares)
         return
     rows = [
-        (one.cause, one.detail, one.requests, f"{one.share:.4f}")
-        for one in found
+        (share.cause, share.detail, share.requests, f"{share.share:.4f}")
+        for share in shares
     ]
     output.print_table(("CAUSE", "DETAIL", "REQUESTS", "SHARE"), rows)
--- a/currantwall/cli/client.py
+++ b/currantwall/cli/client.py
@@ -12,12 +12,21 @@
 
 __all__ = ["Client", "ExitCode", "Problem"]
 
+# Seconds.
 _TIMEOUT = 15.0
 Value = typing.TypeVar("Value")
 
 
 class ExitCode(enum.IntEnum):
-    """Exit codes that scripts can rely on."""
+    """Exit codes of the tool; scripts rely on them.
+
+    Attributes:
+        OK: Done.
+        FAILED: Refused or failed.
+        USAGE: Bad usage or file.
+        NOT_IN_FORCE: Stored, but not yet in force everywhere.
+        UNREACHABLE: The entry process cannot be reached.
+    """
 
     OK = 0
     FAILED = 1
@@ -27,37 +36,37 @@
 
 
 class Problem(msgspec.Struct, frozen=True):
-    """Why a call gave nothing."""
+    """Why the tool cannot go on: an exit code and a message."""
 
     code: ExitCode
     message: str
 
 
 class Client:
-    """Speaks to one entry process."""
+    """Calls one entry process."""
 
     def __init__(self, entry: str, key: str) -> None:
         self.entry = entry
         self._key = key
         self._pool = urllib3.PoolManager(retries=False)
 
-    def at(self, entry: str) -> "Client":
-        """Return a client for another entry process."""
+    def with_entry(self, entry: str) -> "Client":
+        """Return a client for another entry process with the same key."""
         return Client(entry, self._key)
 
     def get(
         self, path: str, kind: type[Value]
     ) -> result.Result[Value, Problem]:
-        """Return a typed answer to a GET."""
+        """Return the answer to a GET, decoded as `kind`."""
         return self.call("GET", path, b"", kind)
 
     def call(
         self, method: str, path: str, body: bytes, kind: type[Value]
     ) -> result.Result[Value, Problem]:
-        """Return the typed answer to a call.
+        """Return the answer to a call, decoded as `kind`.
 
-        A body of the wanted type counts as an answer whatever the
-        status; the type itself says how things stand.
+        A body that decodes as `kind` is an answer whatever the status
+        code: the outcome is in the decoded value.
         """
         try:
             response = self._pool.request(
--- a/currantwall/cli/explanations.py
+++ b/currantwall/cli/explanations.py
@@ -1,7 +1,7 @@
-"""``currantwall explain``: from a request's id to its cause, by the logs.
+"""``currantwall explain``: why a request ended as it did, from the logs.
 
-It reads the lines that gateways wrote, of any number of processes, and
-needs nothing that runs: an operator asks after the fact.
+It reads the log lines of any number of gateways and calls no running
+process, so it also works after the fact.
 """
 
 from collections import abc
@@ -28,11 +28,15 @@
     "read_lines",
 ]
 
-_ENDS = ("refused", "answered", "ended_early")
-# Seconds before and after a request in which other lines may tell why.
-_BEFORE = 6.0
-_AFTER = 1.0
-_AROUND = (
+# Log events with which a request ends.
+_END_EVENTS = ("refused", "answered", "ended_early")
+# Seconds before a request's first line and after its last line in which
+# other lines may explain its end; a loss of an instance explains a failed
+# attempt up to the first of these before or after it.
+_CONTEXT_BEFORE = 6.0
+_CONTEXT_AFTER = 1.0
+# Log events of the request's node that may explain its end.
+_CONTEXT_EVENTS = (
     "duty_taken",
     "duty_lost",
     "store_lost",
@@ -41,9 +45,9 @@
     "started",
     "stopping",
 )
-_NOT_FOUND = 1
+_NOT_FOUND_EXIT_CODE = 1
 
-# Arguments of the commands that read logs.
+# Argument and option of the commands that read logs.
 Logs = typing.Annotated[
     list[pathlib.Path],
     typer.Argument(help="Logs of the gateways; - for standard input."),
@@ -70,7 +74,7 @@
 
     Attributes:
         at: Seconds since the Unix epoch.
-        fields: All that the line says.
+        fields: All fields of the line, event, node and timestamp included.
     """
 
     at: float
@@ -80,12 +84,12 @@
 
 
 class Explanation(msgspec.Struct, frozen=True):
-    """What the logs say of one request.
+    """Why one request ended as it did, with the log lines that show it.
 
     Attributes:
-        summary: One sentence for the person who asks.
+        summary: One sentence for the operator.
         lines: The request's own lines, oldest first.
-        around: Lines of other things that bear on it.
+        around: Other lines of that time that may explain its end.
     """
 
     request: str
@@ -102,12 +106,12 @@
 
 
 def read_lines(texts: abc.Iterable[str]) -> list[Line]:
-    """Return the lines that can be read, by their time.
+    """Return the lines that can be decoded, sorted by time.
 
-    What stands before the first brace is passed over: collectors put a
-    time and a name there.
+    Text before the first brace is ignored: log collectors put a time and
+    a name there.
     """
-    found = []
+    lines = []
     for text in texts:
         start = text.find("{")
         if start < 0:
@@ -119,91 +123,108 @@
             # Not a line of a gateway's log.
             continue
         at = raw.timestamp.timestamp()
-        found.append(Line(at, raw.event, raw.node, fields))
-    return sorted(found, key=lambda line: line.at)
+        lines.append(Line(at, raw.event, raw.node, fields))
+    return sorted(lines, key=lambda line: line.at)
 
 
 def explain(lines: abc.Sequence[Line], request: str) -> Explanation | None:
     """Return why a request ended as it did; None if no line names it."""
-    own = [line for line in lines if line.fields.get("request") == request]
-    if not own:
+    request_lines = [
+        line for line in lines if line.fields.get("request") == request
+    ]
+    if not request_lines:
         return None
-    cause, summary = find_cause(own, lines)
-    first = own[0].at - _BEFORE
-    last = own[-1].at + _AFTER
-    replicas = {line.fields.get("replica") for line in own} - {None}
-    around = [
+    cause, summary = find_cause(request_lines, lines)
+    first = request_lines[0].at - _CONTEXT_BEFORE
+    last = request_lines[-1].at + _CONTEXT_AFTER
+    replicas = {line.fields.get("replica") for line in request_lines} - {None}
+    context = [
         line
         for line in lines
-        if first <= line.at <= last and _bears_on(line, own, replicas)
+        if first <= line.at <= last
+        and _is_related(line, request_lines, replicas)
     ]
-    return Explanation(request, cause, summary, own, around)
+    return Explanation(request, cause, summary, request_lines, context)
 
 
-def _bears_on(
-    line: Line, own: abc.Sequence[Line], replicas: set[typing.Any]
+def _is_related(
+    line: Line, request_lines: abc.Sequence[Line], replicas: set[typing.Any]
 ) -> bool:
-    """Return whether a line may tell why a request failed."""
+    """Return whether a line of that time may explain a request's end.
+
+    Args:
+        line: The line.
+        request_lines: The request's lines.
+        replicas: Ids of the replicas that these lines name.
+    """
     if line.event == "order":
         return line.fields.get("replica") in replicas
     if line.event == "instance_lost":
         seat = str(line.fields.get("seat", ""))
         return seat.partition("@")[0] in replicas
-    return line.event in _AROUND and line.node == own[0].node
+    return line.event in _CONTEXT_EVENTS and line.node == request_lines[0].node
 
 
 def find_cause(
-    own: abc.Sequence[Line], lines: abc.Sequence[Line]
+    request_lines: abc.Sequence[Line], lines: abc.Sequence[Line]
 ) -> tuple[Cause, str]:
     """Return why a request ended as it did, and a sentence about it.
 
     Args:
-        own: Its lines, oldest first.
-        lines: All lines, or those that tell of lost instances.
+        request_lines: The request's lines, oldest first.
+        lines: All lines, or at least those about lost instances.
     """
-    ends = [line for line in own if line.event in _ENDS]
-    failures = [line for line in own if line.event == "attempt_failed"]
+    ends = [line for line in request_lines if line.event in _END_EVENTS]
+    failures = [
+        line for line in request_lines if line.event == "attempt_failed"
+    ]
     if not ends:
         return Cause.UNFINISHED, "no line tells its end: the node was lost"
     end = ends[-1].fields
     if end["event"] == "answered" and end["status"] < 500:
-        tries = f"{end['sends']} sends, {end['spent']} s"
-        return Cause.SERVED, f"{end['status']} by {end['upstream']}, {tries}"
+        effort = f"{end['sends']} sends, {end['spent']} s"
+        return Cause.SERVED, f"{end['status']} by {end['upstream']}, {effort}"
     if end.get("left"):
         return Cause.CALLER_LEFT, "its caller closed the connection"
     if end["event"] == "refused" and end["status"] in (401, 404):
         why = f"{end['why']} in version {end['version']}"
         return Cause.NOT_ALLOWED, f"{end['status']}: {why}"
     if failures:
-        found = _explain_failure(failures[-1], end, lines)
-        if found is not None:
-            return found
+        explained = _explain_failure(failures[-1], end, lines)
+        if explained is not None:
+            return explained
     if end["event"] == "answered":
         why = f"{end['upstream']} answered {end['status']} itself"
         return Cause.UPSTREAM_FAILED, why
     if end.get("status") == 504:
         return Cause.TIMED_OUT, f"504: {end['why']}"
-    again = f"come back after {end.get('retry_after')} s"
-    return Cause.REFUSED, f"not run: {end.get('why')}; {again}"
+    advice = f"come back after {end.get('retry_after')} s"
+    return Cause.REFUSED, f"not run: {end.get('why')}; {advice}"
 
 
 def _explain_failure(
     failure: Line, end: dict[str, typing.Any], lines: abc.Sequence[Line]
 ) -> tuple[Cause, str] | None:
-    """Return the cause that the last failed attempt tells, if any."""
+    """Return cause and sentence if the last failed attempt explains the end.
+
+    Args:
+        failure: The request's last line about a failed attempt.
+        end: Fields of the line with which the request ended.
+        lines: All lines, or at least those about lost instances.
+    """
     fields = failure.fields
     where = f"{fields['upstream']} after {fields['after']} s"
     if "member lost" in fields["why"]:
-        lost = [
+        instances = [
             line.fields["instance"]
             for line in lines
             if line.event == "instance_lost"
-            and abs(line.at - failure.at) <= _BEFORE
+            and abs(line.at - failure.at) <= _CONTEXT_BEFORE
             and str(line.fields.get("seat", "")).startswith(
                 f"{fields['replica']}@"
             )
         ]
-        names = ", ".join(lost) or "a member"
+        names = ", ".join(instances) or "a member"
         why = f"replica {fields['replica']} lost {names}"
         return Cause.MEMBER_LOST, f"{why}; its leader {where}"
     if fields["failure"] in ("lost", "stalled") and end.get("status") != 503:
@@ -212,39 +233,45 @@
     return None
 
 
-def _format(line: Line) -> str:
+def _format_line(line: Line) -> str:
     hidden = ("event", "node", "timestamp", "request")
-    said = " ".join(
+    details = " ".join(
         f"{name}={value}"
         for name, value in line.fields.items()
         if name not in hidden
     )
-    return f"{line.fields['timestamp']}  {line.node}  {line.event}  {said}"
+    return f"{line.fields['timestamp']}  {line.node}  {line.event}  {details}"
 
 
 def show_explanation(
-    request: typing.Annotated[str, typer.Argument(help="Its id.")],
+    request: typing.Annotated[str, typer.Argument(help="Id of the request.")],
     logs: Logs,
     json: Json = False,
 ) -> None:
-    """Tell from the logs why a request ended as it did.
+    """Explain from the logs why a request ended as it did.
 
-    Exit code 1 if no line names it.
+    The exit code is 1 if no line names it.
 
     Example: currantwall explain 9c41d07be2a35f68 logs/*.log
     """
-    found = explain(read_lines(read_files(logs)), request)
-    if found is None:
+    explanation = explain(read_lines(read_files(logs)), request)
+    if explanation is None:
         typer.echo(f"no line names request {request}", err=True)
-        raise typer.Exit(_NOT_FOUND)
+        raise typer.Exit(_NOT_FOUND_EXIT_CODE)
     if json:
-        output.print_json(found)
+        output.print_json(explanation)
         return
-    typer.echo(f"{found.request}: {found.cause.value}: {found.summary}")
-    for title, lines in (("its own", found.lines), ("around", found.around)):
+    typer.echo(
+        f"{explanation.request}: {explanation.cause.value}:"
+        f" {explanation.summary}"
+    )
+    for title, lines in (
+        ("its own", explanation.lines),
+        ("around", explanation.around),
+    ):
         typer.echo(f"\n{title}:")
         for line in lines:
-            typer.echo(_format(line))
+            typer.echo(_format_line(line))
 
 
 def show_history(
@@ -254,24 +281,27 @@
     ] = None,
     json: Json = False,
 ) -> None:
-    """Show the lines of several gateways in the order of their time.
+    """Show the log lines of several gateways, sorted by time.
 
     Example: currantwall history --event duty_taken logs/*.log
     """
-    found = [
+    lines = [
         line
         for line in read_lines(read_files(logs))
         if not event or line.event in event
     ]
     if json:
-        output.print_json(found)
+        output.print_json(lines)
         return
-    for line in found:
-        typer.echo(_format(line))
+    for line in lines:
+        typer.echo(_format_line(line))
 
 
 def read_files(paths: abc.Iterable[pathlib.Path]) -> abc.Iterator[str]:
-    """Yield the lines of some files; `-` stands for standard input."""
+    """Yield the lines of files; `-` is standard input.
+
+    Prints an error and exits with code 2 if a file cannot be read.
+    """
     for path in paths:
         if str(path) == "-":
             yield from sys.stdin
--- a/currantwall/cli/main.py
+++ b/currantwall/cli/main.py
@@ -60,7 +60,7 @@
 def entries(
     context: typer.Context,
     datacentre: typing.Annotated[
-        str, typer.Option(help="Data centre to come first.")
+        str, typer.Option(help="Data centre whose entries are listed first.")
     ] = "",
     json: Json = False,
 ) -> None:
@@ -71,13 +71,16 @@
     caller: client.Client = context.obj
     query = f"?datacentre={datacentre}" if datacentre else ""
     kind = entries_module.EntryList
-    found = output.unwrap(caller.get(f"/v1/entries{query}", kind))
+    listed = output.unwrap(caller.get(f"/v1/entries{query}", kind))
     if json:
-        output.print_json(found)
+        output.print_json(listed)
         return
-    rows = [(one.node, one.address, one.datacentre) for one in found.entries]
+    rows = [
+        (entry.node, entry.address, entry.datacentre)
+        for entry in listed.entries
+    ]
     output.print_table(("ENTRY", "ADDRESS", "DATA CENTRE"), rows)
-    typer.echo(f"keep for {found.ttl:g} s; keys start {found.key_prefix}")
+    typer.echo(f"keep for {listed.ttl:g} s; keys start {listed.key_prefix}")
 
 
 @app.command()
@@ -88,22 +91,22 @@
     """
     caller: client.Client = context.obj
     path = "/v1/admin/status"
-    found = output.unwrap(caller.get(path, operators.Status))
+    answer = output.unwrap(caller.get(path, operators.Status))
     if json:
-        output.print_json(found)
+        output.print_json(answer)
         return
-    _print_status(found)
+    _print_status(answer)
 
 
-def _print_status(found: operators.Status) -> None:
-    ready = "ready" if found.ready else "not ready"
-    typer.echo(f"{found.node}: {ready}, {found.open_attempts} in flight")
+def _print_status(answer: operators.Status) -> None:
+    ready = "ready" if answer.ready else "not ready"
+    typer.echo(f"{answer.node}: {ready}, {answer.open_attempts} in flight")
     rows = [
-        (one.id, one.datacentre, one.address, one.state.value)
-        for one in found.members
+        (member.id, member.datacentre, member.address, member.state.value)
+        for member in answer.members
     ]
     output.print_table(("ENTRY", "DATA CENTRE", "ADDRESS", "STATE"), rows)
-    for domain in found.domains:
+    for domain in answer.domains:
         typer.echo(
             f"\n{domain.name} ({domain.datacentre}): held by"
             f" {domain.holder}, epoch {domain.epoch}, {domain.idle} idle"
@@ -118,11 +121,11 @@
                 "LOAD",
                 "MEMBERS",
             ),
-            [_make_row(replica) for replica in domain.replicas],
+            [_make_replica_row(replica) for replica in domain.replicas],
         )
 
 
-def _make_row(replica: operators.ReplicaStatus) -> tuple[object, ...]:
+def _make_replica_row(replica: operators.ReplicaStatus) -> tuple[object, ...]:
     return (
         replica.id,
         replica.profile,
--- a/currantwall/cli/output.py
+++ b/currantwall/cli/output.py
@@ -1,4 +1,4 @@
-"""How the tool prints: tables for people, JSON for scripts."""
+"""Output of the tool: tables for people, JSON for scripts."""
 
 from collections import abc
 import typing
@@ -21,11 +21,11 @@
 
 
 def print_table(
-    head: abc.Sequence[str], rows: abc.Sequence[abc.Sequence[object]]
+    header: abc.Sequence[str], rows: abc.Sequence[abc.Sequence[object]]
 ) -> None:
-    """Print rows under a head, columns aligned."""
-    lines = [list(head), *([str(cell) for cell in row] for row in rows)]
-    widths = [max(len(line[n]) for line in lines) for n in range(len(head))]
+    """Print a header and rows with aligned columns."""
+    lines = [list(header), *([str(cell) for cell in row] for row in rows)]
+    widths = [max(len(line[n]) for line in lines) for n in range(len(header))]
     for line in lines:
         cells = (
             cell.ljust(width) for cell, width in zip(line, widths, strict=True)
@@ -34,13 +34,13 @@
 
 
 def fail(problem: client.Problem) -> typing.NoReturn:
-    """Print a problem to standard error and exit with its code."""
+    """Print a problem to standard error and exit with its exit code."""
     typer.echo(problem.message, err=True)
     raise typer.Exit(problem.code)
 
 
 def unwrap(outcome: result.Result[Value, client.Problem]) -> Value:
-    """Return a good outcome's value; exit on a bad one."""
+    """Return the value of an outcome; `fail` if it is a problem."""
     if isinstance(outcome, result.Err):
         fail(outcome.err_value)
     return outcome.ok_value
--- a/currantwall/cli/profiles.py
+++ b/currantwall/cli/profiles.py
@@ -1,4 +1,4 @@
-"""``currantwall profile``: apply, show, diff, delete."""
+"""``currantwall profile``: apply, show, diff and delete profiles."""
 
 import difflib
 import pathlib
@@ -25,7 +25,12 @@
 
 
 class Applied(msgspec.Struct):
-    """What became of one profile of a file."""
+    """The outcome of applying or deleting one profile.
+
+    Attributes:
+        outcome: `unchanged` or the value of an EditOutcome.
+        missing: Nodes on which the edit is not yet in force.
+    """
 
     name: str
     outcome: str
@@ -34,7 +39,7 @@
 
 
 def read_profiles(path: pathlib.Path) -> list[profile.Profile]:
-    """Return the profiles in a file; exit with 2 when it is bad."""
+    """Return the profiles in a file; exit with code 2 if it is invalid."""
     try:
         text = path.read_text(encoding="utf-8")
     except OSError as error:
@@ -47,7 +52,7 @@
     return outcome.ok_value
 
 
-def _get(caller: client.Client, name: str) -> operators.ProfileView:
+def _fetch_profile(caller: client.Client, name: str) -> operators.ProfileView:
     path = f"/v1/admin/profiles/{name}"
     return output.unwrap(caller.get(path, operators.ProfileView))
 
@@ -58,7 +63,7 @@
     file: File,
     expect: typing.Annotated[
         int,
-        typer.Option(help="Version the edit is based on; -1: the newest."),
+        typer.Option(help="Version the edit is based on; -1: the latest."),
     ] = -1,
     json: Json = False,
 ) -> None:
@@ -69,24 +74,25 @@
     Example: currantwall profile apply examples/northgate/profiles.ini
     """
     caller: client.Client = context.obj
-    done = [
-        _apply_one(caller, wanted, expect) for wanted in read_profiles(file)
+    results = [
+        _apply_profile(caller, wanted, expect)
+        for wanted in read_profiles(file)
     ]
     if json:
-        output.print_json(done)
+        output.print_json(results)
     else:
-        for one in done:
-            typer.echo(_describe(one))
-    raise typer.Exit(max(_choose_code(one) for one in done))
+        for applied in results:
+            typer.echo(_describe(applied))
+    raise typer.Exit(max(_choose_exit_code(applied) for applied in results))
 
 
-def _apply_one(
+def _apply_profile(
     caller: client.Client, wanted: profile.Profile, expect: int
 ) -> Applied:
-    held = _get(caller, wanted.name)
-    expected = held.version if expect < 0 else expect
-    if held.profile == wanted and expected == held.version:
-        return Applied(wanted.name, "unchanged", held.version)
+    current = _fetch_profile(caller, wanted.name)
+    expected = current.version if expect < 0 else expect
+    if current.profile == wanted and expected == current.version:
+        return Applied(wanted.name, "unchanged", current.version)
     path = f"/v1/admin/profiles/{wanted.name}?expected={expected}"
     body = objects.encode(wanted)
     answer = output.unwrap(
@@ -97,19 +103,19 @@
     )
 
 
-def _describe(done: Applied) -> str:
-    text = f"{done.name}: {done.outcome}"
-    if done.version:
-        text += f", version {done.version}"
-    if done.missing:
-        text += f", not yet in force on {', '.join(done.missing)}"
+def _describe(applied: Applied) -> str:
+    text = f"{applied.name}: {applied.outcome}"
+    if applied.version:
+        text += f", version {applied.version}"
+    if applied.missing:
+        text += f", not yet in force on {', '.join(applied.missing)}"
     return text
 
 
-def _choose_code(done: Applied) -> client.ExitCode:
-    if done.outcome in ("unchanged", edits.EditOutcome.ACCEPTED.value):
+def _choose_exit_code(applied: Applied) -> client.ExitCode:
+    if applied.outcome in ("unchanged", edits.EditOutcome.ACCEPTED.value):
         return client.ExitCode.OK
-    if done.outcome == edits.EditOutcome.STORED.value:
+    if applied.outcome == edits.EditOutcome.STORED.value:
         return client.ExitCode.NOT_IN_FORCE
     return client.ExitCode.FAILED
 
@@ -126,28 +132,32 @@
     """
     caller: client.Client = context.obj
     if name:
-        found = [_get(caller, name)]
+        views = [_fetch_profile(caller, name)]
     else:
         path = "/v1/admin/profiles"
         kind = list[operators.ProfileView]
-        found = output.unwrap(caller.get(path, kind))
-    known = [view for view in found if view.profile is not None]
+        views = output.unwrap(caller.get(path, kind))
+    existing = [view for view in views if view.profile is not None]
     if json:
-        output.print_json(known)
+        output.print_json(existing)
     else:
         texts = [
             profile.format_profile(view.profile)
-            for view in known
+            for view in existing
             if view.profile
         ]
         typer.echo("\n".join(texts).rstrip())
-    if name and not known:
+    if name and not existing:
         message = f"there is no profile {name!r}"
         output.fail(client.Problem(client.ExitCode.FAILED, message))
 
 
 class Difference(msgspec.Struct):
-    """What a file would change in one profile."""
+    """What applying a file would change in one profile.
+
+    Attributes:
+        lines: Lines of a unified diff; empty if nothing would change.
+    """
 
     name: str
     lines: list[str]
@@ -155,29 +165,33 @@
 
 @app.command()
 def diff(context: typer.Context, file: File, json: Json = False) -> None:
-    """Show what applying a file would change; exit code 1: something.
+    """Show what applying a file would change.
+
+    The exit code is 1 if anything would change.
 
     Example: currantwall profile diff examples/northgate/profiles.ini
     """
     caller: client.Client = context.obj
-    found = []
+    differences = []
     for wanted in read_profiles(file):
-        held = _get(caller, wanted.name).profile
-        before = profile.format_profile(held).splitlines() if held else []
+        current = _fetch_profile(caller, wanted.name).profile
+        before = (
+            profile.format_profile(current).splitlines() if current else []
+        )
         after = profile.format_profile(wanted).splitlines()
         lines = list(
             difflib.unified_diff(
                 before, after, "in force", str(file), lineterm=""
             )
         )
-        found.append(Difference(wanted.name, lines))
+        differences.append(Difference(wanted.name, lines))
     if json:
-        output.print_json(found)
+        output.print_json(differences)
     else:
-        for one in found:
-            for line in one.lines:
+        for difference in differences:
+            for line in difference.lines:
                 typer.echo(line)
-    if any(one.lines for one in found):
+    if any(difference.lines for difference in differences):
         raise typer.Exit(client.ExitCode.FAILED)
 
 
@@ -192,17 +206,17 @@
     Example: currantwall profile delete night-batch
     """
     caller: client.Client = context.obj
-    held = _get(caller, name)
-    if held.profile is None:
+    current = _fetch_profile(caller, name)
+    if current.profile is None:
         message = f"there is no profile {name!r}"
         output.fail(client.Problem(client.ExitCode.FAILED, message))
-    path = f"/v1/admin/profiles/{name}?expected={held.version}"
+    path = f"/v1/admin/profiles/{name}?expected={current.version}"
     answer = output.unwrap(
         caller.call("DELETE", path, b"", operators.EditAnswer)
     )
-    done = Applied(name, answer.outcome.value, 0, answer.missing)
+    applied = Applied(name, answer.outcome.value, 0, answer.missing)
     if json:
-        output.print_json(done)
+        output.print_json(applied)
     else:
-        typer.echo(_describe(done))
-    raise typer.Exit(_choose_code(done))
+        typer.echo(_describe(applied))
+    raise typer.Exit(_choose_exit_code(applied))
--- a/currantwall/cli/stops.py
+++ b/currantwall/cli/stops.py
@@ -1,4 +1,4 @@
-"""``currantwall stop``: plan, show, cancel."""
+"""``currantwall stop``: plan, show and cancel planned stops."""
 
 import time
 import typing
@@ -18,15 +18,17 @@
 
 app = typer.Typer(help="Planned stops: drain first, cut no request.")
 Json = typing.Annotated[bool, typer.Option("--json", help="Print JSON.")]
-_PATH = "/v1/admin/stops"
-_POLL = 1.0
+_STOPS_PATH = "/v1/admin/stops"
+# Seconds between two looks at a stop that is waited for.
+_POLL_INTERVAL = 1.0
 
 
-def _list(caller: client.Client) -> list[operators.StopView]:
-    return output.unwrap(caller.get(_PATH, list[operators.StopView]))
+def _fetch_stops(caller: client.Client) -> list[operators.StopView]:
+    return output.unwrap(caller.get(_STOPS_PATH, list[operators.StopView]))
 
 
-def _finish(answer: operators.EditAnswer) -> None:
+def _check_answer(answer: operators.EditAnswer) -> None:
+    """Exit with an error unless the edit is in force everywhere."""
     if answer.outcome is edits.EditOutcome.STORED:
         names = ", ".join(answer.missing)
         typer.echo(f"stored, not yet in force on {names}", err=True)
@@ -42,8 +44,10 @@
     scope: typing.Annotated[
         stops.StopScope, typer.Argument(help="What the target is.")
     ],
-    target: typing.Annotated[str, typer.Argument(help="Its name.")],
-    reason: typing.Annotated[str, typer.Option(help="For others.")] = "",
+    target: typing.Annotated[str, typer.Argument(help="Name of the target.")],
+    reason: typing.Annotated[
+        str, typer.Option(help="Shown to other operators.")
+    ] = "",
     wait: typing.Annotated[
         bool, typer.Option("--wait", help="Wait until it is drained.")
     ] = False,
@@ -70,30 +74,33 @@
     body = objects.encode(stop)
     answer = output.unwrap(
         caller.call(
-            "PUT", f"{_PATH}/{name}?expected=0", body, operators.EditAnswer
+            "PUT",
+            f"{_STOPS_PATH}/{name}?expected=0",
+            body,
+            operators.EditAnswer,
         )
     )
-    _finish(answer)
+    _check_answer(answer)
     if json:
         output.print_json(stop)
     else:
         typer.echo(f"{name}: planned")
     if wait:
-        _await(caller, name)
+        _wait_until_finished(caller, name)
 
 
-def _await(caller: client.Client, name: str) -> None:
-    """Wait for the end of a stop, saying what it waits for."""
-    told = ""
+def _wait_until_finished(caller: client.Client, name: str) -> None:
+    """Wait until a stop has finished; print what it is waiting for."""
+    printed = ""
     while True:
-        found = [one for one in _list(caller) if one.stop.id == name]
-        if not found or found[0].finished:
+        views = [view for view in _fetch_stops(caller) if view.stop.id == name]
+        if not views or views[0].finished:
             typer.echo(f"{name}: finished")
             return
-        if found[0].waiting != told:
-            told = found[0].waiting
-            typer.echo(told)
-        time.sleep(_POLL)
+        if views[0].waiting != printed:
+            printed = views[0].waiting
+            typer.echo(printed)
+        time.sleep(_POLL_INTERVAL)
 
 
 @app.command()
@@ -103,9 +110,9 @@
     Example: currantwall stop show
     """
     caller: client.Client = context.obj
-    found = _list(caller)
+    views = _fetch_stops(caller)
     if json:
-        output.print_json(found)
+        output.print_json(views)
         return
     rows = [
         (
@@ -115,7 +122,7 @@
             "finished" if view.finished else view.waiting,
             view.stop.reason,
         )
-        for view in found
+        for view in views
     ]
     output.print_table(("STOP", "SCOPE", "TARGET", "STATE", "REASON"), rows)
 
@@ -131,15 +138,15 @@
     Example: currantwall stop cancel instance-fabric-a-3-1f0c2a
     """
     caller: client.Client = context.obj
-    found = [one for one in _list(caller) if one.stop.id == name]
-    if not found:
+    views = [view for view in _fetch_stops(caller) if view.stop.id == name]
+    if not views:
         message = f"there is no stop {name!r}"
         output.fail(client.Problem(client.ExitCode.FAILED, message))
-    path = f"{_PATH}/{name}?expected={found[0].version}"
+    path = f"{_STOPS_PATH}/{name}?expected={views[0].version}"
     answer = output.unwrap(
         caller.call("DELETE", path, b"", operators.EditAnswer)
     )
-    _finish(answer)
+    _check_answer(answer)
     if json:
         output.print_json(answer)
     else:
--- a/currantwall/cli/timelines.py
+++ b/currantwall/cli/timelines.py
@@ -17,20 +17,26 @@
 
 __all__ = ["show_timeline"]
 
-_MICROSECONDS = 1_000_000
+_MICROSECONDS_PER_SECOND = 1_000_000
+# Seconds between two polls with `--follow`.
 _FOLLOW_INTERVAL = 1.0
 _TEMPLATE = "timeline.html"
 
 
 class Merged(msgspec.Struct):
-    """Events of all processes in one order, and who did not answer."""
+    """Events of all entry processes.
+
+    Attributes:
+        events: The events, sorted by time stamp.
+        unreachable: Nodes that did not answer.
+    """
 
     events: list[timeline.Event]
     unreachable: list[str]
 
 
-def collect(caller: client.Client, since: int = 0) -> Merged:
-    """Return the events of every entry process after a time.
+def collect_events(caller: client.Client, since: int = 0) -> Merged:
+    """Return the events of all entry processes after a time.
 
     Args:
         caller: A client for any entry process.
@@ -42,7 +48,9 @@
     unreachable = []
     for member in status.members:
         path = f"/v1/admin/timeline?since={since}"
-        answer = caller.at(member.address).get(path, operators.Timeline)
+        answer = caller.with_entry(member.address).get(
+            path, operators.Timeline
+        )
         if isinstance(answer, result.Err):
             unreachable.append(member.id)
         else:
@@ -53,12 +61,14 @@
 
 def _format_time(event: timeline.Event) -> str:
     at = datetime.datetime.fromtimestamp(
-        event.stamp.wall / _MICROSECONDS, datetime.UTC
+        event.stamp.wall / _MICROSECONDS_PER_SECOND, datetime.UTC
     )
     return at.strftime("%H:%M:%S.%f")[:-3]
 
 
-def _keep(merged: Merged, kind: str, replica: str) -> list[timeline.Event]:
+def _select_events(
+    merged: Merged, kind: str, replica: str
+) -> list[timeline.Event]:
     return [
         event
         for event in merged.events
@@ -66,7 +76,7 @@
     ]
 
 
-def _print(events: list[timeline.Event]) -> None:
+def _print_events(events: list[timeline.Event]) -> None:
     for event in events:
         line = (
             f"{_format_time(event)}  {event.node:<12}"
@@ -76,7 +86,7 @@
 
 
 def _write_page(path: pathlib.Path, events: list[timeline.Event]) -> None:
-    """Write an HTML page with one lane for each process."""
+    """Write an HTML page: a table with one column for each process."""
     loader = jinja2.PackageLoader("currantwall.cli", "")
     environment = jinja2.Environment(loader=loader, autoescape=True)
     environment.filters["time"] = _format_time
@@ -90,7 +100,7 @@
 def show_timeline(
     context: typer.Context,
     since: typing.Annotated[
-        float, typer.Option(help="Only the last so many seconds.")
+        float, typer.Option(help="Only events of the last so many seconds.")
     ] = 0.0,
     kind: typing.Annotated[
         str, typer.Option(help="Only events of this kind.")
@@ -99,28 +109,31 @@
         str, typer.Option(help="Only events about this replica.")
     ] = "",
     html: typing.Annotated[
-        pathlib.Path | None, typer.Option(help="Write a page to this file.")
+        pathlib.Path | None,
+        typer.Option(help="Also write an HTML page to this file."),
     ] = None,
     follow: typing.Annotated[
-        bool, typer.Option(help="Go on printing new events.")
+        bool, typer.Option(help="Keep printing new events.")
     ] = False,
     json: typing.Annotated[
         bool, typer.Option("--json", help="Print JSON.")
     ] = False,
 ) -> None:
-    """Show what happened, over all entry processes, in one order.
+    """Show the events of all entry processes, sorted by time.
 
     Example: currantwall timeline --since 60 --kind replica_suspended
     """
     caller: client.Client = context.obj
-    start = int((time.time() - since) * _MICROSECONDS) if since else 0
+    start = (
+        int((time.time() - since) * _MICROSECONDS_PER_SECOND) if since else 0
+    )
     while True:
-        merged = collect(caller, start)
-        events = _keep(merged, kind, replica)
+        merged = collect_events(caller, start)
+        events = _select_events(merged, kind, replica)
         if json:
             output.print_json(Merged(events, merged.unreachable))
         else:
-            _print(events)
+            _print_events(events)
         for node in merged.unreachable:
             typer.echo(f"{node}: did not answer", err=True)
         if html is not None:
