--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -2,6 +2,7 @@
 
 from hypothesis import settings
 
-# The same verdict every time: examples come from the test itself.
+# Makes every run use the same examples: hypothesis derives its seed from
+# the source of each test.
 settings.register_profile("ci", derandomize=True, deadline=None, database=None)
 settings.load_profile("ci")
--- a/tests/layers.py
+++ b/tests/layers.py
@@ -1,17 +1,19 @@
-"""Checks that each layer imports only itself and layers below it.
+"""Checks that each layer imports only itself and the layers below it.
 
-Also that the platform's names stay in its adapter, and that the adapter
-stays small: it translates and decides nothing.
+It also checks that the platform's names are used only in its adapter,
+and that the adapter stays small: it translates and makes no decisions.
 """
 
 import ast
 import pathlib
 import sys
 
-_ROOT = pathlib.Path(__file__).parent.parent / "currantwall"
+_PRODUCT = pathlib.Path(__file__).parent.parent / "currantwall"
 _ADAPTER = pathlib.Path(__file__).parent.parent / "platform"
-_ADAPTER_LINES = 1500
-# Names of the platform's wire; enough of each message to notice a leak.
+# Lines that the adapter must stay below.
+_MAX_ADAPTER_LINES = 1500
+# Names in the platform's messages: some of each message, so that code that
+# handles one of them outside the adapter is found.
 _WIRE_NAMES = (
     "CURRANTWALL_SETTINGS",
     "X-Attempt-Id",
@@ -39,8 +41,10 @@
     "trafficSplit",
     "warmS",
 )
+# From top to bottom.
 _LAYERS = ("transport", "protocol", "coordination", "state")
-_PURE = ("coordination", "state")
+# Layers without input and output, clocks, threads and random numbers.
+_PURE_LAYERS = ("coordination", "state")
 _IMPURE_MODULES = frozenset(
     (
         "asyncio",
@@ -59,34 +63,34 @@
 
 
 def list_imports(path: pathlib.Path) -> list[str]:
-    """Return the full names of all modules a file imports."""
-    found = []
+    """Return the full names of all modules that a file imports."""
+    modules = []
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.Import):
-            found += [alias.name for alias in node.names]
+            modules += [alias.name for alias in node.names]
         elif isinstance(node, ast.ImportFrom) and node.module:
-            found += [f"{node.module}.{alias.name}" for alias in node.names]
-    return found
+            modules += [f"{node.module}.{alias.name}" for alias in node.names]
+    return modules
 
 
-def check(path: pathlib.Path) -> list[str]:
-    """Return what is wrong with the imports of one file."""
-    layer = path.relative_to(_ROOT).parts[0]
+def check_imports(path: pathlib.Path) -> list[str]:
+    """Return the forbidden imports of one file."""
+    layer = path.relative_to(_PRODUCT).parts[0]
     below = _LAYERS[_LAYERS.index(layer) :]
     problems = []
     for name in list_imports(path):
         parts = name.split(".")
         if parts[0] == "currantwall" and parts[1] not in below:
             problems.append(f"{path}: {layer} imports {name}")
-        if layer in _PURE and parts[0] in _IMPURE_MODULES:
+        if layer in _PURE_LAYERS and parts[0] in _IMPURE_MODULES:
             problems.append(f"{path}: {layer} is pure but imports {name}")
     return problems
 
 
 def check_names() -> list[str]:
-    """Return where the product uses the platform's names."""
+    """Return the places where the product uses the platform's names."""
     problems = []
-    for path in sorted(_ROOT.rglob("*.py")):
+    for path in sorted(_PRODUCT.rglob("*.py")):
         text = path.read_text(encoding="utf-8")
         for name in _WIRE_NAMES:
             if name in text:
@@ -95,22 +99,22 @@
 
 
 def check_adapter() -> list[str]:
-    """Return whether the adapter has grown too large."""
+    """Return a problem if the adapter has grown too large."""
     size = sum(
         len(path.read_text(encoding="utf-8").splitlines())
         for path in _ADAPTER.rglob("*.py")
     )
-    if size < _ADAPTER_LINES:
+    if size < _MAX_ADAPTER_LINES:
         return []
-    return [f"{_ADAPTER}: {size} lines, {_ADAPTER_LINES} are allowed"]
+    return [f"{_ADAPTER}: {size} lines, {_MAX_ADAPTER_LINES} are allowed"]
 
 
 def main() -> int:
     """Check all files; return the exit code."""
     problems = check_names() + check_adapter()
     for layer in _LAYERS:
-        for path in sorted((_ROOT / layer).rglob("*.py")):
-            problems += check(path)
+        for path in sorted((_PRODUCT / layer).rglob("*.py")):
+            problems += check_imports(path)
     for problem in problems:
         print(problem)
     return 1 if problems else 0
--- a/tests/runner.py
+++ b/tests/runner.py
@@ -1,11 +1,12 @@
-"""Runs all tests and closes with ``N passed, N failed``.
+"""Runs all tests; the last line is ``N passed, N failed``.
 
-Each test class runs in a process of its own, a few at a time, and the
-results are printed in the order of their names. Each is given ports of
-its own, so that its processes cannot meet another one's.
+Each test class runs in a process of its own, a few at the same time, and
+the results are printed in the order of the class names. Each class gets
+a range of ports of its own, so that it never connects to a process of
+another one.
 
-A test listed in KNOWN-RED.txt may fail without failing the run; it is
-printed. A listed test that passes must be taken off the list.
+A test listed in KNOWN-RED.txt may fail without failing the run; its line
+is printed. A listed test that passes must be removed from the list.
 """
 
 from concurrent import futures
@@ -19,16 +20,24 @@
 
 _ROOT = pathlib.Path(__file__).parent.parent
 _KNOWN_RED = _ROOT / "KNOWN-RED.txt"
-# Classes at the same time: some start a dozen processes themselves.
+# Classes that run at the same time; some start a dozen processes.
 _WORKERS = 4
-# Ports that each class's processes listen on.
+# Range of ports that is divided among the classes.
 _FIRST_PORT = 12_000
 _LAST_PORT = 32_000
-_PORTS_EACH = 220
+_PORTS_PER_CLASS = 220
 
 
 class Outcome:
-    """What came of one class's tests."""
+    """The results of one class's tests.
+
+    Attributes:
+        name: Name of the class.
+        run: Number of tests that ran.
+        failed: Ids of the tests that failed.
+        skipped: Number of tests that were skipped.
+        report: Output of unittest's test runner.
+    """
 
     def __init__(self, name, run, failed, skipped, report):
         self.name = name
@@ -60,19 +69,24 @@
 def _is_test_class(value: object) -> bool:
     """Return whether a module's attribute is a class with tests.
 
-    Not by the class's own name: hypothesis makes classes elsewhere that
-    a module gives a name.
+    The class's own module and name are not checked: hypothesis defines
+    test classes in its own modules.
     """
     if not isinstance(value, type) or not issubclass(value, unittest.TestCase):
         return False
-    named = unittest.defaultTestLoader.getTestCaseNames(value)
-    return bool(named) or hasattr(value, "runTest")
+    methods = unittest.defaultTestLoader.getTestCaseNames(value)
+    return bool(methods) or hasattr(value, "runTest")
 
 
 def run_named(name: str, first_port: int) -> Outcome:
-    """Run what a name stands for; in a process of its own."""
+    """Run the tests with a name; called in a process of its own.
+
+    Args:
+        name: Full name of a module, class or method.
+        first_port: First port of the tests' range.
+    """
     os.environ["CURRANTWALL_TEST_PORTS"] = (
-        f"{first_port}-{first_port + _PORTS_EACH}"
+        f"{first_port}-{first_port + _PORTS_PER_CLASS}"
     )
     suite = unittest.defaultTestLoader.loadTestsFromName(name)
     stream = io.StringIO()
@@ -85,8 +99,8 @@
 
 
 def run_all(names: list[str]) -> list[Outcome]:
-    """Return the outcomes in the order of the names."""
-    last = _FIRST_PORT + len(names) * _PORTS_EACH
+    """Run the tests with each name; return the outcomes in that order."""
+    last = _FIRST_PORT + len(names) * _PORTS_PER_CLASS
     if last > _LAST_PORT:
         raise SystemExit("too many test classes for the range of ports")
     context = multiprocessing.get_context("spawn")
@@ -94,10 +108,12 @@
         _WORKERS, context, max_tasks_per_child=1
     ) as pool:
         running = [
-            pool.submit(run_named, name, _FIRST_PORT + place * _PORTS_EACH)
-            for place, name in enumerate(names)
+            pool.submit(
+                run_named, name, _FIRST_PORT + index * _PORTS_PER_CLASS
+            )
+            for index, name in enumerate(names)
         ]
-        return [one.result() for one in running]
+        return [future.result() for future in running]
 
 
 def main() -> int:
--- a/tests/test_explanations.py
+++ b/tests/test_explanations.py
@@ -1,4 +1,4 @@
-"""From a request's id to its cause, by the tool and the logs alone."""
+"""Tests of ``explain`` and ``causes``: a request's cause from the logs."""
 
 import subprocess
 import sys
@@ -14,13 +14,14 @@
 from tests import test_gateway
 
 Cause = explanations.Cause
+# Seconds.
 _WAIT = 60.0
-# Seconds until a slow stream has certainly begun, and not ended.
-_FIRST_EVENT = 0.8
+# Seconds after which a slow stream has begun and has not yet ended.
+_STREAM_START_DELAY = 0.8
 
 
-class PlayedFailuresTest(test_gateway.GatewayCase):
-    """Each failure is played over processes; the tool has their logs."""
+class InjectedFailuresTest(test_gateway.GatewayCase):
+    """Injects failures into running processes and reads their logs."""
 
     def explain(self, attempt):
         logs = [str(self.fleet.path / f"{name}.log") for name in ("g1", "g2")]
@@ -37,18 +38,18 @@
         return msgspec.json.decode(done.stdout, type=explanations.Explanation)
 
     def await_end(self, attempt):
-        """Return the explanation once the logs tell the request's end."""
+        """Return the explanation once the request's end is in the logs."""
         found = None
 
-        def is_there():
+        def is_logged():
             nonlocal found
             found = self.explain(attempt)
             return found is not None and found.cause is not Cause.UNFINISHED
 
-        fleet_module.wait_until(is_there, _WAIT, f"log of {attempt}")
+        fleet_module.wait_until(is_logged, _WAIT, f"log of {attempt}")
         return found
 
-    def test_a_booking_that_ended_502(self):
+    def test_an_unsafe_request_that_ended_with_502(self):
         answer = self.send("POST", "/unsafe/torn/x", b"1", attempt="why-1")
         self.assertEqual(answer.status, 502)
         found = self.await_end("why-1")
@@ -57,50 +58,54 @@
         self.assertIn("it may have run", found.summary)
         self.assertIn(run["seal"].partition(".")[2], found.summary)
 
-    def test_a_refusal_under_load(self):
+    def test_a_request_refused_under_load(self):
         answer = self.send("POST", "/unsafe/busy/x", b"1", attempt="why-2")
         self.assertEqual(answer.status, 503)
         found = self.await_end("why-2")
         self.assertIs(found.cause, Cause.REFUSED)
         self.assertIn("come back after", found.summary)
 
-    def test_a_stream_that_a_lost_member_cut(self):
-        """A caller's note stopped in the middle.
+    def test_a_stream_cut_by_the_loss_of_a_member(self):
+        """Guards against not finding why a caller's stream was cut short.
 
-        It cannot be resumed; an instance of its replica is killed, which
-        the holder of the domain finds when the stream falls silent.
+        An instance of the stream's replica is killed. The stream cannot be
+        resumed; the holder of the domain finds the loss when the stream
+        stalls.
         """
-        caught = {}
+        received = {}
 
         def read():
-            caught["answer"] = self.send(
+            received["answer"] = self.send(
                 "POST", "/once/slow/x", attempt="why-3"
             )
 
         reader = threading.Thread(target=read)
         reader.start()
         fleet_module.wait_until(
-            lambda: self.list_runs("why-3"), _WAIT, "its start"
+            lambda: self.list_runs("why-3"), _WAIT, "start of the stream"
         )
         (run,) = self.list_runs("why-3")
-        time.sleep(_FIRST_EVENT)
-        (member,) = [one for one in run["members"] if one != run["members"][0]]
+        time.sleep(_STREAM_START_DELAY)
+        (member,) = [
+            name for name in run["members"] if name != run["members"][0]
+        ]
         self.fleet.kill(member)
         self.addCleanup(self.fleet.restart_engine, member, "d0", "m")
         reader.join()
-        self.assertFalse(caught["answer"].whole)
+        self.assertFalse(received["answer"].whole)
         found = self.await_end("why-3")
         self.assertIs(found.cause, Cause.MEMBER_LOST)
         self.assertIn(member, found.summary)
         kinds = [line.event for line in found.around]
         self.assertIn("instance_lost", kinds)
 
-    def test_a_request_that_no_log_names(self):
+    def test_a_request_in_no_log(self):
         self.assertIsNone(self.explain("never-sent"))
 
 
 class LogCase(unittest.TestCase):
     def read(self, *lines):
+        """Return log lines with a node and times one second apart."""
         stamped = []
         for number, line in enumerate(lines):
             fields = {
@@ -112,11 +117,11 @@
 
 
 class ExplainTest(LogCase):
-    def test_what_is_no_line_of_a_log_is_passed_over(self):
+    def test_text_that_is_not_a_log_line_is_skipped(self):
         texts = ["Traceback", "{", '{"event": 1}', "  1.5 g1 {}"]
         self.assertEqual(explanations.read_lines(texts), [])
 
-    def test_lines_come_in_the_order_of_their_time(self):
+    def test_lines_are_sorted_by_time(self):
         texts = [
             '{"event":"b","node":"g","timestamp":"2026-01-01T00:00:02Z"}',
             '9 g {"event":"a","node":"g","timestamp":"2026-01-01T00:00:01Z"}',
@@ -127,13 +132,13 @@
     def explain(self, *lines):
         return explanations.explain(self.read(*lines), "r")
 
-    def test_a_caller_that_left(self):
+    def test_a_request_whose_caller_disconnected(self):
         found = self.explain(
             {"event": "ended_early", "request": "r", "left": True}
         )
         self.assertIs(found.cause, Cause.CALLER_LEFT)
 
-    def test_a_key_that_was_taken_away(self):
+    def test_a_request_with_a_revoked_key(self):
         found = self.explain(
             {
                 "event": "refused",
@@ -146,7 +151,7 @@
         self.assertIs(found.cause, Cause.NOT_ALLOWED)
         self.assertIn("version 7", found.summary)
 
-    def test_a_node_that_was_lost_with_the_request(self):
+    def test_a_request_whose_node_was_lost(self):
         found = self.explain(
             {
                 "event": "attempt_failed",
@@ -159,7 +164,7 @@
         )
         self.assertIs(found.cause, Cause.UNFINISHED)
 
-    def test_an_answer_in_order(self):
+    def test_a_request_that_was_served(self):
         found = self.explain(
             {
                 "event": "answered",
@@ -183,8 +188,8 @@
             "late": late,
         }
 
-    def test_requests_are_counted_by_what_made_them_late(self):
-        """An operator would have to ask after each request singly."""
+    def test_requests_are_counted_by_cause_and_detail(self):
+        """Guards against having to explain each late request on its own."""
         failed = {"event": "attempt_failed", "failure": "lost", "why": "head"}
         failed |= {"upstream": "e1", "after": 0.1}
         refused = {"event": "refused", "status": 503, "why": "too long"}
@@ -198,8 +203,8 @@
             refused | {"request": "e", "retry_after": 1.0},
         )
         found = {
-            (one.cause, one.detail): one.requests
-            for one in causes.count_causes(lines)
+            (share.cause, share.detail): share.requests
+            for share in causes.count_causes(lines)
         }
         expected = {
             ("served", ""): 1,
