--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1,8 +1,8 @@
-"""Shows that the proofs can fail: each guard taken out, its test run.
+"""Checks by mutation that tests can fail: removes guards one at a time.
 
-``python -m tests.mutants [NAME ...]`` copies the tree, removes one guard
-at a time and runs the test that is meant to notice. A test that passes
-all the same is reported and the exit code is 1.
+``python -m tests.mutants [NAME ...]`` copies the source tree for each
+mutant, replaces the guard and runs the test that should then fail. If a
+test passes without its guard, this is printed and the exit code is 1.
 """
 
 import pathlib
@@ -14,7 +14,7 @@
 import msgspec
 
 _ROOT = pathlib.Path(__file__).parent.parent
-_COPIED = (
+_COPIED_FOLDERS = (
     "currantwall",
     "platform",
     "standins",
@@ -26,12 +26,20 @@
 
 
 class Mutant(msgspec.Struct, frozen=True):
-    """One guard and the test that needs it."""
+    """A guard in the source and the test that should fail without it.
+
+    Attributes:
+        name: The fault that the mutant has.
+        file: Path of the source file.
+        guard: Text of the guard; it must occur once in the file.
+        replacement: Text in place of the guard.
+        test: Name of the test.
+    """
 
     name: str
     file: str
     guard: str
-    without: str
+    replacement: str
     test: str
 
 
@@ -44,21 +52,21 @@
 _PLACING = "tests.test_placing"
 MUTANTS = (
     Mutant(
-        "an instance that is a little slow is told of",
+        "a slightly slow instance is reported as slow",
         "currantwall/transport/duties.py",
         "        is_slow = found.pace >= _SLOW_PACE\n",
         "        is_slow = found.pace > 1.0\n",
         f"{_DUTIES}.SlowTest.test_a_member_that_is_a_little_slow_is_not_told",
     ),
     Mutant(
-        "a slow member is told of once",
+        "a slow member is reported only once",
         "currantwall/transport/duties.py",
         "        one.slow.add(found.id)\n",
         "",
         f"{_DUTIES}.SlowTest.test_a_slow_member_is_told_until_it_no_longer_is",
     ),
     Mutant(
-        "slow replicas are passed over though most are slow",
+        "slow replicas are skipped although most are slow",
         f"{_COORDINATION}/requests/balancing.py",
         "        if 2 * len(remaining) >= len(candidates):\n",
         "        if True:\n",
@@ -66,7 +74,7 @@
         ".test_slow_replicas_serve_where_most_are_slow",
     ),
     Mutant(
-        "other nodes try an absent store as often as readers",
+        "other nodes call an unavailable store as often as readers",
         "currantwall/transport/configurations.py",
         "_PATIENCE_FIRST = 4.0\n",
         "_PATIENCE_FIRST = 0.1\n",
@@ -74,7 +82,7 @@
         ".test_an_outage_costs_others_than_readers_a_call_in_seconds",
     ),
     Mutant(
-        "one process at an address",
+        "only one process can listen on an address",
         "currantwall/transport/listeners.py",
         "    if int(port):\n",
         "    if False:\n",
@@ -82,21 +90,21 @@
         ".test_a_process_listens_while_its_predecessor_ends",
     ),
     Mutant(
-        "nobody tells of losses while nobody holds a lease",
+        "losses are not reported while nobody holds the lease",
         "currantwall/transport/domainleases.py",
         "        return self._find_prober(one, now) == self._presence.me.id\n",
         "        return False\n",
         f"{_DUTIES}.ProbeTest.test_a_loss_is_told_while_the_store_is_away",
     ),
     Mutant(
-        "a node that hears nobody tells losses",
+        "an isolated node reports losses",
         "currantwall/transport/domainleases.py",
         "is_lapsed(now) or self._presence.is_isolated(now):",
         "is_lapsed(now):",
         f"{_DUTIES}.ProbeTest.test_a_node_that_hears_nobody_tells_no_losses",
     ),
     Mutant(
-        "lost answers are kept to oneself",
+        "lost answers are not reported to other nodes",
         f"{_COORDINATION}/requests/balancing.py",
         "                counts[_format_lost_key(name)] = lost\n",
         "                pass\n",
@@ -104,7 +112,7 @@
         ".test_nodes_avoid_an_upstream_that_lost_answers_of_others",
     ),
     Mutant(
-        "late counts are taken for fresh ones",
+        "delayed counts are treated as current",
         f"{_COORDINATION}/requests/balancing.py",
         "        if len(sampled) == 2 and self.are_counts_relayed and",
         "        if False and",
@@ -112,7 +120,7 @@
         ".test_counts_as_old_as_requests_do_not_overrun_replicas",
     ),
     Mutant(
-        "nodes that start refuse at once",
+        "nodes refuse requests at once while starting",
         f"{_COORDINATION}/requests/attempts.py",
         "    return max(0.0, _START_HOLD - uptime)\n",
         "    return 0.0\n",
@@ -120,14 +128,14 @@
         ".test_callers_that_come_at_once_to_a_node_that_starts_are_served",
     ),
     Mutant(
-        "a leader that refuses is taken for gone",
+        "a leader that refuses probes is treated as gone",
         f"{_COORDINATION}/replicas/formation.py",
         "        if phase is Phase.BROKEN:\n",
         "        if phase is Phase.BROKEN or record.is_refusing:\n",
         f"{_FORMATION}.test_members_leave_a_leader_that_has_stopped_listening",
     ),
     Mutant(
-        "the oldest first, in time or not",
+        "the oldest request goes first even if it is late",
         f"{_COORDINATION}/requests/backlog.py",
         "        if self.is_late(ticket, now):\n            # The",
         "        if True:\n            # The",
@@ -135,14 +143,14 @@
         ".test_requests_that_can_be_in_time_go_before_late_ones",
     ),
     Mutant(
-        "no bound to what a replica is sent",
+        "no limit on the requests sent to a replica",
         f"{_COORDINATION}/requests/balancing.py",
         "        if get_limit is not None:\n",
         "        if False:\n",
         f"{_PLACING}.SurgeTest.test_most_are_in_time_while_twice_as_many_come",
     ),
     Mutant(
-        "a slow gateway blames the replicas",
+        "pauses of a slow gateway lower the replicas' limits",
         f"{_COORDINATION}/requests/placing.py",
         "        return max(usual, _USUAL_PAUSE_FACTOR * shortest)\n",
         "        return usual\n",
@@ -150,7 +158,7 @@
         ".test_a_slow_gateway_does_not_lower_the_limits_of_all_replicas",
     ),
     Mutant(
-        "an address of another server is tried again",
+        "a leader that another server answers for is tried again",
         f"{_COORDINATION}/requests/balancing.py",
         "now + _LOSS_EJECTION_SECONDS)\n\n    def note_failure",
         "now)\n\n    def note_failure",
@@ -158,7 +166,7 @@
         ".test_a_leader_that_another_server_answers_for_is_avoided",
     ),
     Mutant(
-        "an old verdict takes the place of a newer one",
+        "an old report of a loss applies to a repaired replica",
         f"{_COORDINATION}/requests/balancing.py",
         "        if upstream.seat is None or upstream.seat.epoch <= epoch:\n",
         "        if True:\n",
@@ -166,7 +174,7 @@
         ".test_a_repaired_replica_is_not_avoided_for_an_old_report",
     ),
     Mutant(
-        "a domain gives up its model for one of which there is plenty",
+        "a domain gives up its model for one that is not scarce",
         f"{_COORDINATION}/replicas/staging.py",
         "    return is_scarce and is_too_small\n",
         "    return is_too_small\n",
@@ -174,7 +182,7 @@
         ".test_a_domain_waits_for_replacements_while_others_have_plenty",
     ),
     Mutant(
-        "an instance that left is kept where only changes are taken over",
+        "instances that left stay when only changes are applied",
         "currantwall/state/upstreams.py",
         "        old = [held[name] for name in gone if name in held]\n",
         "        old = []\n",
@@ -182,7 +190,7 @@
         ".test_changes_alone_give_what_the_whole_list_does",
     ),
     Mutant(
-        "leases read by nodes that may not hold them",
+        "leases are read by nodes that may not hold them",
         f"{_COORDINATION}/replicas/leases.py",
         "    return rank < _CANDIDATES\n",
         "    return True\n",
@@ -190,35 +198,35 @@
         ".test_only_who_may_hold_a_lease_reads_it",
     ),
     Mutant(
-        "a list that stands still taken for whole",
+        "a list that is not updated is treated as complete",
         "currantwall/transport/duties.py",
         "        seen = self._fleet.updated\n",
         "        seen = self._clock.now()\n",
         f"{_DUTIES}.StartTest.test_a_domain_is_not_dealt_out_by_half_a_list",
     ),
     Mutant(
-        "a lease taken before it has lapsed",
+        "a lease is taken before it has lapsed",
         f"{_COORDINATION}/replicas/leases.py",
         "        return now >= self._first_seen + self._lease.ttl\n",
         "        return now >= self._first_seen + 0.5\n",
         f"{_DUTIES}.LeaseTest.test_never_two_holders_whatever_happens",
     ),
     Mutant(
-        "the least busy of all chosen",
+        "the least busy of all upstreams is chosen",
         f"{_COORDINATION}/requests/balancing.py",
         "        sampled = _sample_two(usable, salt)\n",
         "        sampled = usable\n",
         "tests.test_balancing.LoadTest.test_nodes_do_not_all_choose_alike",
     ),
     Mutant(
-        "full replicas not passed over",
+        "full replicas are not skipped",
         f"{_COORDINATION}/requests/balancing.py",
         "        is_full = self.count_load(best.id) >= best.slots\n",
         "        is_full = False\n",
         "tests.test_balancing.LoadTest.test_the_last_free_slots_are_found",
     ),
     Mutant(
-        "two candidates for a lease",
+        "a lease has only two candidates",
         f"{_COORDINATION}/replicas/leases.py",
         "_CANDIDATES = 6\n",
         "_CANDIDATES = 2\n",
@@ -226,21 +234,21 @@
         ".test_a_domain_finds_a_holder_when_the_first_are_turned_away",
     ),
     Mutant(
-        "the end of a load not looked for in the list",
+        "the end of a load is not detected from the list",
         f"{_COORDINATION}/replicas/knowledge.py",
         "                    or upstream.staged != record.upstream.staged\n",
         "",
         f"{_FORMATION}.test_the_end_of_a_load_is_seen_at_once",
     ),
     Mutant(
-        "a fence used again",
+        "a fence is used again",
         "currantwall/transport/domainleases.py",
         "else one.fence + 1\n",
         "else one.fence\n",
         f"{_DUTIES}.LeaseTest.test_a_fence_is_never_used_by_two_holders",
     ),
     Mutant(
-        "counts of a node added up by both its relays",
+        "both relays of a node add up its counts",
         f"{_COORDINATION}/peers/digests.py",
         "            if heartbeat.asks is RelayRequest.FULL:\n",
         "            if True:\n",
@@ -248,7 +256,7 @@
         ".test_the_counts_of_all_nodes_are_added_up_once",
     ),
     Mutant(
-        "silent nodes never asked to relay",
+        "silent nodes are never asked to relay",
         f"{_COORDINATION}/peers/presence.py",
         "        if self._is_alive(peer, now) or peer.asked_since is None:\n"
         "            return True\n",
@@ -257,7 +265,7 @@
         ".test_the_fleet_goes_on_when_all_relays_die_at_once",
     ),
     Mutant(
-        "entries that lapsed dropped by who doesn't read the store",
+        "lapsed entries are dropped by nodes that do not read the store",
         "currantwall/transport/fleets.py",
         "        if found.failure_age is not None:\n",
         "        if False:\n",
@@ -271,7 +279,7 @@
         f"{_FORMATION}.test_a_survivor_never_joins_while_its_leader_serves",
     ),
     Mutant(
-        "lapsed entries taken as gone at once",
+        "lapsed entries are treated as gone at once",
         "currantwall/transport/fleets.py",
         "        return self._find_outage(now) is not None\n",
         "        return False\n",
@@ -279,7 +287,7 @@
         ".test_entries_that_lapsed_in_an_outage_are_kept_for_a_while",
     ),
     Mutant(
-        "a refusal taken for an outage by who was refused",
+        "a refused node treats the refusal as an outage",
         f"{_COORDINATION}/peers/outages.py",
         "            if until - began > _MIN_OUTAGE_SECONDS:\n",
         "            if until - began > 0.0:\n",
@@ -287,7 +295,7 @@
         ".test_who_leaves_is_dropped_after_this_node_was_turned_away",
     ),
     Mutant(
-        "what others were answered counts for nothing",
+        "answers of the store to other nodes are ignored",
         f"{_COORDINATION}/peers/presence.py",
         "            self.store_history.note_answer(now - age)\n",
         "            pass\n",
@@ -295,7 +303,7 @@
         ".test_who_leaves_is_dropped_after_this_node_was_turned_away",
     ),
     Mutant(
-        "a refusal taken for an outage by who was told",
+        "a follower treats a reader's refusal as an outage",
         f"{_COORDINATION}/peers/outages.py",
         "            if until - began > _MIN_OUTAGE_SECONDS:\n",
         "            if until - began > 0.0:\n",
@@ -303,7 +311,7 @@
         ".test_who_leaves_is_dropped_after_a_reader_was_cut_off",
     ),
     Mutant(
-        "a silence without a failure taken for an outage",
+        "a silence without a failed call is treated as an outage",
         f"{_COORDINATION}/peers/outages.py",
         "                if failed:\n",
         "                failed.append(now)\n                if True:\n",
@@ -311,7 +319,7 @@
         ".test_a_silence_in_which_no_call_failed_is_no_outage",
     ),
     Mutant(
-        "an outage not known before an answer is",
+        "an outage is not recognised before it has ended",
         f"{_COORDINATION}/peers/outages.py",
         "            until = now if ended is None else ended\n",
         "            until = began if ended is None else ended\n",
@@ -319,7 +327,7 @@
         ".test_lapsed_entries_are_kept_by_who_hears_of_the_list_first",
     ),
     Mutant(
-        "an older configuration taken",
+        "an older configuration is applied",
         "currantwall/transport/configurations.py",
         "        if found.version <= self.version:\n",
         "        if False:\n",
@@ -327,7 +335,7 @@
         ".test_a_version_is_never_replaced_by_an_older_one",
     ),
     Mutant(
-        "a reset taken for an end",
+        "a connection reset is treated as the end of an answer",
         "currantwall/transport/sockets.py",
         "        except ConnectionResetError as error:\n",
         "        except ZeroDivisionError as error:\n",
@@ -335,7 +343,7 @@
         ".test_an_answer_that_a_reset_ends_is_not_whole",
     ),
     Mutant(
-        "broken verdict ignored",
+        "broken verdicts are ignored",
         f"{_COORDINATION}/replicas/evidence.py",
         "            elif self._proves_broken(evidence, now):\n"
         "                return False\n",
@@ -343,7 +351,7 @@
         f"{_REPLICAS}.LossTest.test_proof_of_one_observer_outweighs_an_older_probe",
     ),
     Mutant(
-        "evidence never grows old",
+        "evidence never expires",
         f"{_COORDINATION}/replicas/evidence.py",
         "        if not whole_at or now - whole_at > self._ttl:\n",
         "        if not whole_at:\n",
@@ -351,7 +359,7 @@
         "_within_two_seconds",
     ),
     Mutant(
-        "silence counts as proof",
+        "silence is treated as proof of a loss",
         f"{_COORDINATION}/replicas/evidence.py",
         "        if evidence.verdict is not wire.Verdict.BROKEN:\n"
         "            return False\n",
@@ -359,7 +367,7 @@
         f"{_REPLICAS}.LossTest.test_one_cut_observer_does_not_end_service",
     ),
     Mutant(
-        "own lapsed lease is left alone",
+        "a node does not take its own lapsed lease again",
         f"{_COORDINATION}/replicas/leases.py",
         "        if self._version is None or self.holds(now):\n"
         "            return False\n",
@@ -368,21 +376,21 @@
         f"{_REPLICAS}.LeaseTest.test_leases_are_taken_again_after_an_outage",
     ),
     Mutant(
-        "no margin on the lease",
+        "the lease has no safety margin",
         f"{_COORDINATION}/replicas/leases.py",
         "            deadline = sent_at + ttl - self._margin\n",
         "            deadline = now + ttl\n",
         f"{_REPLICAS}.LeaseTest.test_order_is_not_sent_after_the_deadline",
     ),
     Mutant(
-        "taker trusts the first sight of any version",
+        "a new version does not restart the wait for a lease to lapse",
         f"{_COORDINATION}/replicas/leases.py",
         "            self._first_seen = now\n",
         "            self._first_seen = self._first_seen or now\n",
         f"{_REPLICAS}.LeaseTest.test_candidate_measures_the_whole_ttl_itself",
     ),
     Mutant(
-        "grant not asked for",
+        "replicas are placed without a grant",
         f"{_COORDINATION}/replicas/placement.py",
         "    if held + accelerators > share.granted:\n        return None\n",
         "",
@@ -390,35 +398,35 @@
         ".test_larger_replicas_do_not_exceed_the_capacity",
     ),
     Mutant(
-        "grant lowered below what is held",
+        "a grant is lowered below what is held",
         f"{_COORDINATION}/profiles/shares.py",
         "granted=min(share.granted, granted), target=target",
         "granted=0, target=target",
         f"{_REPLICAS}.CapacityTest",
     ),
     Mutant(
-        "nothing settles a lost ledger write",
+        "the ledger is not written again after a lost answer",
         f"{_COORDINATION}/replicas/controller.py",
         "            if self._must_write:\n",
         "            if False:\n",
         f"{_REPLICAS}.CapacityTest",
     ),
     Mutant(
-        "shares used under another epoch",
+        "shares of another epoch are used",
         f"{_COORDINATION}/profiles/shares.py",
         "if share.epoch == epoch and name not in self._unsettled:",
         "if name not in self._unsettled:",
         f"{_REPLICAS}.CapacityTest.test_share_of_a_former_holder_is_not_used",
     ),
     Mutant(
-        "capacity not asked for",
+        "shares are granted beyond the capacity",
         f"{_COORDINATION}/profiles/granting.py",
         "    return planned.total + increase <= wanted.capacity\n",
         "    return True\n",
         f"{_REPLICAS}.CapacityTest.test_capacity_bounds_what_is_held",
     ),
     Mutant(
-        "draining ends at once",
+        "draining does not wait for requests in flight",
         f"{_COORDINATION}/replicas/controller.py",
         "            if probed_at is None or report is None"
         " or not report.is_quiet:\n",
@@ -426,21 +434,21 @@
         f"{_REPLICAS}.StopTest.test_stop_waits_for_the_request_in_flight",
     ),
     Mutant(
-        "no surge while rolling over",
+        "no extra replica while a new version rolls over",
         f"{_COORDINATION}/profiles/granting.py",
         "    return int(bool(stale) and serving <= wanted.replicas)\n",
         "    return 0\n",
         f"{_REPLICAS}.CapacityTest.test_new_version_rolls_over_without_a_gap",
     ),
     Mutant(
-        "lower class keeps its room",
+        "a lower class keeps its accelerators",
         f"{_COORDINATION}/profiles/granting.py",
         "        if yielding != wanted.name:\n",
         "        if True:\n",
         f"{_REPLICAS}.ClassesTest.test_higher_class_gets_the_room",
     ),
     Mutant(
-        "returned member is waited for",
+        "a member that is back empty is waited for",
         f"{_COORDINATION}/replicas/repair.py",
         "    if repair is Repair.WAIT and not broken.missing:\n",
         "    if False:\n",
@@ -448,7 +456,7 @@
         ".test_member_that_is_back_empty_is_not_waited_for",
     ),
     Mutant(
-        "spares are given to the first",
+        "the first way to use the spares wins, not the cheapest",
         f"{_COORDINATION}/replicas/repair.py",
         "            if known is None or total < known.cost:\n",
         "            if known is None:\n",
@@ -458,16 +466,16 @@
 
 
 def run(mutant: Mutant) -> str:
-    """Return what is wrong with one proof, empty when it is good."""
+    """Return why a mutant was not noticed; empty if its test failed."""
     with tempfile.TemporaryDirectory() as name:
         copy = pathlib.Path(name)
-        for part in _COPIED:
-            shutil.copytree(_ROOT / part, copy / part)
+        for folder in _COPIED_FOLDERS:
+            shutil.copytree(_ROOT / folder, copy / folder)
         path = copy / mutant.file
         text = path.read_text(encoding="utf-8")
         if text.count(mutant.guard) != 1:
-            return "the guard is not there once"
-        path.write_text(text.replace(mutant.guard, mutant.without))
+            return "the guard does not occur exactly once"
+        path.write_text(text.replace(mutant.guard, mutant.replacement))
         done = subprocess.run(
             [sys.executable, "-m", "tests", mutant.test],
             cwd=copy,
@@ -484,16 +492,16 @@
 
 
 def main() -> int:
-    """Run the mutants; return the exit code."""
-    wanted = sys.argv[1:]
-    bad = 0
+    """Run the mutants, or those named; return the exit code."""
+    names = sys.argv[1:]
+    failed = 0
     for mutant in MUTANTS:
-        if wanted and mutant.name not in wanted:
+        if names and mutant.name not in names:
             continue
         problem = run(mutant)
-        bad += bool(problem)
+        failed += bool(problem)
         print(f"{mutant.name}: {problem or 'noticed'}", flush=True)
-    return 1 if bad else 0
+    return 1 if failed else 0
 
 
 if __name__ == "__main__":
