--- a/currantwall/protocol/platform.py
+++ b/currantwall/protocol/platform.py
@@ -36,7 +36,7 @@
 
 
 class Object(msgspec.Struct, omit_defaults=True):
-    """An object on the wire; a deleted object has the value null."""
+    """An object on the wire; its value is null or absent if deleted."""
 
     kind: str
     name: str
--- a/tests/test_explanations.py
+++ b/tests/test_explanations.py
@@ -52,18 +52,18 @@
     def test_an_unsafe_request_that_ended_with_502(self):
         answer = self.send("POST", "/unsafe/torn/x", b"1", attempt="why-1")
         self.assertEqual(answer.status, 502)
-        found = self.await_end("why-1")
-        self.assertIs(found.cause, Cause.ANSWER_LOST)
+        explanation = self.await_end("why-1")
+        self.assertIs(explanation.cause, Cause.ANSWER_LOST)
         (run,) = self.list_runs("why-1")
-        self.assertIn("it may have run", found.summary)
-        self.assertIn(run["seal"].partition(".")[2], found.summary)
+        self.assertIn("it may have run", explanation.summary)
+        self.assertIn(run["seal"].partition(".")[2], explanation.summary)
 
     def test_a_request_refused_under_load(self):
         answer = self.send("POST", "/unsafe/busy/x", b"1", attempt="why-2")
         self.assertEqual(answer.status, 503)
-        found = self.await_end("why-2")
-        self.assertIs(found.cause, Cause.REFUSED)
-        self.assertIn("come back after", found.summary)
+        explanation = self.await_end("why-2")
+        self.assertIs(explanation.cause, Cause.REFUSED)
+        self.assertIn("come back after", explanation.summary)
 
     def test_a_stream_cut_by_the_loss_of_a_member(self):
         """Guards against not finding why a caller's stream was cut short.
@@ -93,10 +93,10 @@
         self.addCleanup(self.fleet.restart_engine, member, "d0", "m")
         reader.join()
         self.assertFalse(received["answer"].whole)
-        found = self.await_end("why-3")
-        self.assertIs(found.cause, Cause.MEMBER_LOST)
-        self.assertIn(member, found.summary)
-        kinds = [line.event for line in found.around]
+        explanation = self.await_end("why-3")
+        self.assertIs(explanation.cause, Cause.MEMBER_LOST)
+        self.assertIn(member, explanation.summary)
+        kinds = [line.event for line in explanation.around]
         self.assertIn("instance_lost", kinds)
 
     def test_a_request_in_no_log(self):
@@ -126,20 +126,20 @@
             '{"event":"b","node":"g","timestamp":"2026-01-01T00:00:02Z"}',
             '9 g {"event":"a","node":"g","timestamp":"2026-01-01T00:00:01Z"}',
         ]
-        found = explanations.read_lines(texts)
-        self.assertEqual([line.event for line in found], ["a", "b"])
+        lines = explanations.read_lines(texts)
+        self.assertEqual([line.event for line in lines], ["a", "b"])
 
     def explain(self, *lines):
         return explanations.explain(self.read(*lines), "r")
 
     def test_a_request_whose_caller_disconnected(self):
-        found = self.explain(
+        explanation = self.explain(
             {"event": "ended_early", "request": "r", "left": True}
         )
-        self.assertIs(found.cause, Cause.CALLER_LEFT)
+        self.assertIs(explanation.cause, Cause.CALLER_LEFT)
 
     def test_a_request_with_a_revoked_key(self):
-        found = self.explain(
+        explanation = self.explain(
             {
                 "event": "refused",
                 "request": "r",
@@ -148,11 +148,11 @@
                 "version": 7,
             }
         )
-        self.assertIs(found.cause, Cause.NOT_ALLOWED)
-        self.assertIn("version 7", found.summary)
+        self.assertIs(explanation.cause, Cause.NOT_ALLOWED)
+        self.assertIn("version 7", explanation.summary)
 
     def test_a_request_whose_node_was_lost(self):
-        found = self.explain(
+        explanation = self.explain(
             {
                 "event": "attempt_failed",
                 "request": "r",
@@ -162,10 +162,10 @@
                 "after": 0.1,
             }
         )
-        self.assertIs(found.cause, Cause.UNFINISHED)
+        self.assertIs(explanation.cause, Cause.UNFINISHED)
 
     def test_a_request_that_was_served(self):
-        found = self.explain(
+        explanation = self.explain(
             {
                 "event": "answered",
                 "request": "r",
@@ -175,7 +175,7 @@
                 "spent": 0.4,
             }
         )
-        self.assertIs(found.cause, Cause.SERVED)
+        self.assertIs(explanation.cause, Cause.SERVED)
 
 
 class CausesTest(LogCase):
@@ -202,7 +202,7 @@
             self.answer("d", "pause"),
             refused | {"request": "e", "retry_after": 1.0},
         )
-        found = {
+        counts = {
             (share.cause, share.detail): share.requests
             for share in causes.count_causes(lines)
         }
@@ -213,7 +213,7 @@
             ("late", "long pause"): 1,
             ("refused", "too long"): 1,
         }
-        self.assertEqual(found, expected)
+        self.assertEqual(counts, expected)
 
 
 if __name__ == "__main__":
