--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -363,7 +363,7 @@
         self.fleet.set_store(down=False)
 
     def test_callers_are_served_while_a_node_starts(self):
-        """Guards against refusing the first callers after all nodes restart."""
+        """Guards against refusing the first callers when all nodes restart."""
         self.fleet.kill("g2")
         self.fleet.start_gateway("g2")
 
