--- a/currantwall/coordination/stops/stopping.py
+++ b/currantwall/coordination/stops/stopping.py
@@ -43,11 +43,11 @@
         self,
         view: views.ObjectsView,
         nodes: views.MembersView,
-        opinions: evidence.Evidence,
+        upstream_evidence: evidence.Evidence,
     ) -> None:
         self._view = view
         self._nodes = nodes
-        self._opinions = opinions
+        self._evidence = upstream_evidence
 
     @part.handles(messages.ObjectChanged)
     def _on_object(
@@ -92,7 +92,7 @@
         ]
         if affected:
             return Progress(False, self._describe_replicas(affected))
-        requests = sum(self._opinions.get_load(name)[0] for name in covered)
+        requests = sum(self._evidence.get_load(name)[0] for name in covered)
         if requests:
             return Progress(False, f"waiting for {requests} requests")
         return Progress(True)
@@ -101,7 +101,7 @@
         """Return what each replica of a stop waits for."""
         parts = []
         for replica in replicas:
-            load, _ = self._opinions.get_load(replica.id)
+            load, _ = self._evidence.get_load(replica.id)
             if replica.phase is domain.ReplicaPhase.DRAINING:
                 parts.append(f"{replica.id}: waiting for {load} requests")
             else:
