--- a/currantwall/gateway.py
+++ b/currantwall/gateway.py
@@ -162,7 +162,7 @@
         self._front = self._make_ingress(self._forwarder.serve)
 
     def _make_news(self) -> news.NewsExchange:
-        """Return what exchanges news, known to those who have some."""
+        """Create the news exchange and connect its callbacks."""
         made = news.NewsExchange(
             self._settings.heartbeats,
             self._presence,
