--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -139,7 +139,7 @@
                 env=environment,
             )
 
-    def _pick(self, name: str) -> str:
+    def _assign_address(self, name: str) -> str:
         if name not in self.addresses:
             self.addresses[name] = f"127.0.0.1:{pick_port()}"
         return self.addresses[name]
@@ -148,7 +148,7 @@
         """Start the platform with the instances added so far."""
         listing = self.path / "instances.json"
         listing.write_bytes(msgspec.json.encode(self._instances))
-        address = self._pick("platform")
+        address = self._assign_address("platform")
         self._run_standin(
             "platform",
             "platform",
@@ -192,7 +192,7 @@
             instances.Instance(
                 id=ids.InstanceId(name),
                 kind=instances.InstanceKind.ENGINE,
-                address=self._pick(name),
+                address=self._assign_address(name),
                 datacentre=ids.DatacentreName(datacentre),
                 domain=ids.DomainName(domain),
                 accelerators=4,
@@ -201,7 +201,7 @@
 
     def start_service(self, name: str, service: str, datacentre: str) -> None:
         """Start an instance of a plain service."""
-        address = self._pick(name)
+        address = self._assign_address(name)
         self._instances.append(
             instances.Instance(
                 id=ids.InstanceId(name),
@@ -217,9 +217,9 @@
 
     def add_entry(self, spec: EntrySpec) -> None:
         """Write the settings of an entry process and list it."""
-        address = self._pick(spec.id)
-        peer = self._pick(f"{spec.id}-peer")
-        self._pick("platform")
+        address = self._assign_address(spec.id)
+        peer = self._assign_address(f"{spec.id}-peer")
+        self._assign_address("platform")
         text = _ENTRY_INI.format(
             id=spec.id,
             datacentre=spec.datacentre,
--- a/bench/gateways.py
+++ b/bench/gateways.py
@@ -46,7 +46,7 @@
         *options: str,
     ) -> None:
         """Start a server of a service; an engine where a domain is given."""
-        address = self._pick(name)
+        address = self._assign_address(name)
         self._run_standin(
             name,
             "upstream",
--- a/soak/site.py
+++ b/soak/site.py
@@ -109,7 +109,7 @@
 
     def begin_upstream(self, name: str) -> None:
         """Start a server behind its proxy."""
-        address = self._pick(name)
+        address = self._assign_address(name)
         if name not in self.links:
             self.links[name] = proxy_module.Proxy(address)
         options = [
