--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Demonstration, load and experiments; speed is measured here only."""
+"""Demonstration, load generator and benchmarks of the whole system."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m bench [NAME ...]``: run the benches named, or all."""
+"""``python -m bench [NAME ...]``: run the named benchmarks, or all."""
 
 import importlib
 import sys
@@ -20,15 +20,15 @@
 
 
 def main() -> int:
-    """Run the benches; return the exit code."""
+    """Run the benchmarks; return 0, or 2 if a name is unknown."""
     for module in _MODULES:
         importlib.import_module(module)
     known = report.list_benches()
     names = [name for name in sys.argv[1:] if name != "all"] or list(known)
     unknown = [name for name in names if name not in known]
     if unknown:
-        wanted = ", ".join(sorted(known))
-        print(f"unknown bench {unknown[0]!r}; one of {wanted}")
+        choices = ", ".join(sorted(known))
+        print(f"unknown benchmark {unknown[0]!r}; choose from {choices}")
         return 2
     for name in names:
         known[name]()
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,7 +1,7 @@
 """Starts a whole site as processes on loopback and stops it again.
 
-The demonstration, the tests over processes and the benches use it. The
-processes end with the fleet; nothing is left behind.
+Used by the demonstration, by tests that start processes and by the
+benchmarks. `Fleet.stop` ends all processes and deletes their files.
 """
 
 from collections import abc
@@ -26,26 +26,27 @@
 __all__ = ["EntrySpec", "Fleet", "FleetError", "wait_until"]
 
 _STOP_SECONDS = 10.0
-_POLL = 0.05
-# Below the range that the kernel takes for outgoing connections. Tests
-# that run side by side are given a part of it each.
-_PORTS = (12_000, 32_000)
+_POLL_SECONDS = 0.05
+# First port and the one after the last. They lie below the range from which
+# the kernel takes ports for outgoing connections. Test runs on the same
+# machine are each given a part of the range in the environment variable.
+_DEFAULT_PORTS = (12_000, 32_000)
 _PORTS_VARIABLE = "CURRANTWALL_TEST_PORTS"
-_PORT_TRIES = 1000
-_PICKED: set[int] = set()
+_MAX_PORT_ATTEMPTS = 1000
+_USED_PORTS: set[int] = set()
 PEER_KEY = "bench-peer-key"
 OPERATOR_KEY = "bench-operator-key"
 
 
 class FleetError(Exception):
-    """A process of the fleet did not do what it should."""
+    """A process failed, or a condition did not hold in time."""
 
 
 class EntrySpec(msgspec.Struct, kw_only=True):
-    """One entry process to start.
+    """Configuration of one entry process.
 
     Attributes:
-        extra: INI text added to its settings.
+        extra: INI text appended to the settings file.
     """
 
     id: str
@@ -56,55 +57,74 @@
 def wait_until(
     check: abc.Callable[[], bool], seconds: float, what: str
 ) -> float:
-    """Return the seconds until a check holds; raise when it never does."""
+    """Poll a condition until it holds.
+
+    Args:
+        check: Returns whether the condition holds.
+        seconds: How long to poll.
+        what: Description of the condition for the error message.
+
+    Returns:
+        The seconds that it took.
+
+    Raises:
+        FleetError: The condition did not hold in time.
+    """
     started = time.monotonic()
     while time.monotonic() - started < seconds:
         if check():
             return time.monotonic() - started
-        time.sleep(_POLL)
-    raise FleetError(f"not within {seconds:g} s: {what}")
+        time.sleep(_POLL_SECONDS)
+    raise FleetError(f"timed out after {seconds:g} s: {what}")
 
 
 def pick_port() -> int:
     """Return a free port of the loopback interface.
 
-    Below the range that the kernel takes for outgoing connections: one
-    of those could have it before the process that shall listen on it.
+    The port lies below the range for outgoing connections: otherwise such
+    a connection could take it before the process listens on it. No port
+    is returned twice.
     """
-    first, last = _PORTS
+    first, last = _DEFAULT_PORTS
     given = os.environ.get(_PORTS_VARIABLE)
     if given:
         first, last = (int(word) for word in given.split("-"))
-    for _ in range(_PORT_TRIES):
+    for _ in range(_MAX_PORT_ATTEMPTS):
         port = random.randrange(first, last)
-        with socket.socket() as held:
+        with socket.socket() as candidate:
             try:
-                held.bind(("127.0.0.1", port))
+                candidate.bind(("127.0.0.1", port))
             except OSError:
                 continue
-        if port not in _PICKED:
-            _PICKED.add(port)
+        if port not in _USED_PORTS:
+            _USED_PORTS.add(port)
             return port
-    raise FleetError("no free port")
+    raise FleetError("no free port found")
 
 
 def pick_port_pair() -> tuple[int, int]:
     """Return two free ports next to each other.
 
-    Failure: only the first is picked, the second is later picked for
-    something else, and as listeners may share a port a caller is answered
-    by the wrong one.
+    Both are recorded as used. If only the first were, the second could be
+    given to another listener; listeners may share a port, so that a caller
+    would be answered by the wrong one.
     """
-    for _ in range(_PORT_TRIES):
+    for _ in range(_MAX_PORT_ATTEMPTS):
         first = pick_port()
-        if first + 1 not in _PICKED:
-            _PICKED.add(first + 1)
+        if first + 1 not in _USED_PORTS:
+            _USED_PORTS.add(first + 1)
             return first, first + 1
-    raise FleetError("no free pair of ports")
+    raise FleetError("no two adjacent free ports found")
 
 
 class Fleet:
-    """Processes of one site."""
+    """Processes of one site on the loopback interface.
+
+    Attributes:
+        path: Temporary directory for settings and logs.
+        addresses: Address (``host:port``) of each process by its name.
+        http: Connections for requests to the processes.
+    """
 
     def __init__(self) -> None:
         self._directory = tempfile.TemporaryDirectory(prefix="fleet-")
@@ -120,16 +140,20 @@
     def __exit__(self, *unused: object) -> None:
         self.stop()
 
-    # -- What is part of the site
+    # -- Processes of the site
 
-    def _add(
+    def _start_process(
         self,
         name: str,
         command: list[str],
         environment: dict[str, str] | None = None,
         unread: bool = False,
     ) -> None:
-        """Start a process; its output goes to a file, or to nobody."""
+        """Start a process.
+
+        Its standard output goes to its log file, or to a pipe that is
+        never read where `unread` is set.
+        """
         log = self.path / f"{name}.log"
         with log.open("ab") as stream:
             self._processes[name] = subprocess.Popen(
@@ -145,11 +169,16 @@
         return self.addresses[name]
 
     def start_platform(self, lag: float = 1.0) -> None:
-        """Start the platform with the instances added so far."""
+        """Start the platform, which lists the instances added so far.
+
+        Args:
+            lag: Seconds that an instance stays listed after its port
+                last accepted a connection.
+        """
         listing = self.path / "instances.json"
         listing.write_bytes(msgspec.json.encode(self._instances))
         address = self._assign_address("platform")
-        self._run_standin(
+        self._start_standin(
             "platform",
             "platform",
             f"--address={address}",
@@ -157,16 +186,16 @@
             f"--lag={lag}",
         )
 
-    def _run_standin(self, name: str, kind: str, *options: str) -> None:
+    def _start_standin(self, name: str, kind: str, *options: str) -> None:
         command = [sys.executable, "-m", "standins", kind, *options]
-        self._add(name, command)
+        self._start_process(name, command)
 
     def start_engine(
         self, name: str, domain: str, datacentre: str, *options: str
     ) -> None:
         """Start an engine instance."""
-        self._list_engine(name, domain, datacentre)
-        self._run_standin(
+        self._add_engine_instance(name, domain, datacentre)
+        self._start_standin(
             name,
             "engine",
             f"--address={self.addresses[name]}",
@@ -177,9 +206,12 @@
     def start_fast_engine(
         self, name: str, domain: str, datacentre: str, interval: float
     ) -> None:
-        """Start an engine instance made for load."""
-        self._list_engine(name, domain, datacentre)
-        self._run_standin(
+        """Start an engine instance for load tests.
+
+        Its streams send a token every `interval` seconds.
+        """
+        self._add_engine_instance(name, domain, datacentre)
+        self._start_standin(
             name,
             "fastengine",
             f"--address={self.addresses[name]}",
@@ -187,7 +219,9 @@
             f"--token-interval={interval}",
         )
 
-    def _list_engine(self, name: str, domain: str, datacentre: str) -> None:
+    def _add_engine_instance(
+        self, name: str, domain: str, datacentre: str
+    ) -> None:
         self._instances.append(
             instances.Instance(
                 id=ids.InstanceId(name),
@@ -200,7 +234,7 @@
         )
 
     def start_service(self, name: str, service: str, datacentre: str) -> None:
-        """Start an instance of a plain service."""
+        """Start an instance of a service without a model."""
         address = self._assign_address(name)
         self._instances.append(
             instances.Instance(
@@ -211,12 +245,12 @@
                 service=ids.ServiceName(service),
             )
         )
-        self._run_standin(
+        self._start_standin(
             name, "service", f"--address={address}", f"--instance={name}"
         )
 
     def add_entry(self, spec: EntrySpec) -> None:
-        """Write the settings of an entry process and list it."""
+        """Write the settings of an entry process and list its instance."""
         address = self._assign_address(spec.id)
         peer = self._assign_address(f"{spec.id}-peer")
         self._assign_address("platform")
@@ -241,11 +275,11 @@
         )
 
     def start_entry(self, name: str) -> None:
-        """Start an entry process that was added."""
+        """Start an entry process that was added by `add_entry`."""
         config = self.path / f"{name}.ini"
         module = "currantwall.daemon"
         command = [sys.executable, "-m", module, f"--config={config}"]
-        self._add(name, command)
+        self._start_process(name, command)
 
     # -- Signals
 
@@ -254,27 +288,31 @@
         self._processes[name].send_signal(number)
 
     def kill(self, name: str) -> None:
-        """Kill a process and wait for its end."""
+        """Kill a process and wait until it has ended."""
         self._processes[name].kill()
         self._processes[name].wait()
 
     def wait(self, name: str, seconds: float) -> int:
-        """Return the exit code of a process that is ending."""
+        """Wait for a process to end and return its exit code.
+
+        Raises:
+            FleetError: It did not end in time.
+        """
         try:
             return self._processes[name].wait(seconds)
         except subprocess.TimeoutExpired as error:
-            raise FleetError(f"{name} did not stop") from error
+            raise FleetError(f"{name} did not stop in time") from error
 
     def get_pid(self, name: str) -> int:
-        """Return the process id of a process."""
+        """Return the operating system's process ID of a process."""
         return self._processes[name].pid
 
     def read_log(self, name: str) -> str:
-        """Return what a process wrote."""
+        """Return the log file of a process."""
         return (self.path / f"{name}.log").read_text()
 
     def stop(self) -> None:
-        """End all processes."""
+        """Kill all processes, stopped ones too, and delete the files."""
         for process in self._processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
@@ -295,7 +333,7 @@
         headers: dict[str, str] | None = None,
         timeout: float = 20.0,
     ) -> urllib3.BaseHTTPResponse:
-        """Make a request to a process."""
+        """Send an HTTP request to a process; `timeout` is in seconds."""
         return self.http.request(
             method,
             f"http://{self.addresses[name]}{path}",
@@ -307,39 +345,45 @@
     def call_signed(
         self, method: str, name: str, path: str, body: bytes = b""
     ) -> urllib3.BaseHTTPResponse:
-        """Make an operator's request to an entry."""
-        value = signing.sign(OPERATOR_KEY, time.time(), method, path, body)
-        return self.request(method, name, path, body, {signing.HEADER: value})
+        """Send a request with an operator's signature to an entry."""
+        signature = signing.sign(OPERATOR_KEY, time.time(), method, path, body)
+        return self.request(
+            method, name, path, body, {signing.HEADER: signature}
+        )
 
     def is_answering(self, name: str, path: str) -> bool:
-        """Return whether a process answers a GET with 200."""
+        """Return whether a process answers a GET request with 200."""
         try:
             return self.request("GET", name, path, timeout=1).status == 200
         except urllib3.exceptions.HTTPError:
             return False
 
     def run_tool(
-        self, entry: str, *words: str
+        self, entry: str, *arguments: str
     ) -> subprocess.CompletedProcess[str]:
-        """Run the operators' tool against an entry."""
+        """Run the operators' command line tool against an entry."""
         command = [
             sys.executable,
             "-m",
             "currantwall.cli.main",
             f"--entry={self.addresses[entry]}",
             f"--key={OPERATOR_KEY}",
-            *words,
+            *arguments,
         ]
         return subprocess.run(
             command, capture_output=True, text=True, timeout=60, check=False
         )
 
-    def read_json(self, entry: str, *words: str) -> typing.Any:
-        """Return the JSON that the tool prints; raise when it fails."""
-        done = self.run_tool(entry, *words, "--json")
-        if done.returncode != 0:
-            raise FleetError(f"{' '.join(words)}: {done.stderr}")
-        return msgspec.json.decode(done.stdout)
+    def read_json(self, entry: str, *arguments: str) -> typing.Any:
+        """Return the decoded JSON that the operators' tool prints.
+
+        Raises:
+            FleetError: The tool failed.
+        """
+        result = self.run_tool(entry, *arguments, "--json")
+        if result.returncode != 0:
+            raise FleetError(f"{' '.join(arguments)}: {result.stderr}")
+        return msgspec.json.decode(result.stdout)
 
 
 _ENTRY_INI = """
--- a/bench/gateways.py
+++ b/bench/gateways.py
@@ -1,7 +1,7 @@
-"""Starts gateway processes and the servers of their platform.
+"""Starts gateway processes, their platform and the servers behind them.
 
-Each gateway has a loopback address of its own, as each has a machine of
-its own on the platform.
+Each gateway gets its own loopback IP address, since on the platform each
+gateway has a machine of its own.
 """
 
 import pathlib
@@ -18,20 +18,27 @@
 HOST = "shop.example"
 KEY = "shop-key"
 PROGRAM = pathlib.Path(__file__).parent.parent / "platform" / "run.py"
-_STORE = "platform"
-_PATH = "/currantwall/objects"
-_REPORT = "/currantwall/report"
+_STORE_NAME = "platform"
+_OBJECTS_PATH = "/currantwall/objects"
+_REPORT_PATH = "/currantwall/report"
 _START_SECONDS = 60.0
 
 
 class Gateways(fleet_module.Fleet):
-    """A platform, its servers and gateways before them."""
+    """A platform, its servers and the gateways in front of them.
+
+    Attributes:
+        version: Version of the configuration that was written last.
+        limits: The limits of the machine in a new gateway's settings.
+        fronts: Address for callers of each gateway, by its name.
+        readies: Address of each gateway's readiness check.
+        directories: Address of each gateway's list of addresses.
+    """
 
     def __init__(self) -> None:
         super().__init__()
         self._next_host = 10
         self.version = 0
-        # What each gateway's machine gives to it, as its settings say.
         self.limits: dict[str, float] = {}
         self.fronts: dict[str, str] = {}
         self.readies: dict[str, str] = {}
@@ -45,9 +52,17 @@
         staged: str = "",
         *options: str,
     ) -> None:
-        """Start a server of a service; an engine where a domain is given."""
+        """Start a server of a service.
+
+        Args:
+            name: Its name.
+            service: The service that it belongs to.
+            domain: Domain of an engine; empty for any other server.
+            staged: Model that the engine has staged; empty for none.
+            options: Further command line options of the stand-in.
+        """
         address = self._assign_address(name)
-        self._run_standin(
+        self._start_standin(
             name,
             "upstream",
             f"--address={address}",
@@ -60,38 +75,41 @@
         )
 
     def restart_engine(self, name: str, domain: str, staged: str) -> None:
-        """Start an engine again after its end; return once it answers."""
+        """Start an engine that has ended; return once it answers."""
         self.start_upstream(name, "pool", domain, staged)
         fleet_module.wait_until(
-            lambda: self.is_answering(name, _REPORT), _START_SECONDS, name
+            lambda: self.is_answering(name, _REPORT_PATH), _START_SECONDS, name
         )
 
     def start_gateway(
         self, name: str, grace: float = 8.0, unread: bool = False
     ) -> None:
-        """Start a gateway, or start it again at the same addresses.
+        """Start a gateway, or restart it at the same addresses.
 
         Args:
             name: Its name.
-            grace: Seconds from the request to stop until it is killed.
-            unread: Whether nobody reads what it writes.
+            grace: Seconds from the request to stop until it would be killed.
+            unread: Whether its standard output is a pipe that is never read.
         """
-        file = self.path / f"{name}.json"
-        if not file.exists():
-            self._write_settings(name, file, grace)
-        environment = {"CURRANTWALL_SETTINGS": str(file), "PATH": "/bin"}
-        self._add(name, self.make_command(name), environment, unread)
+        settings_path = self.path / f"{name}.json"
+        if not settings_path.exists():
+            self._write_settings(name, settings_path, grace)
+        environment = {
+            "CURRANTWALL_SETTINGS": str(settings_path),
+            "PATH": "/bin",
+        }
+        self._start_process(name, self.make_command(name), environment, unread)
 
     def make_command(self, name: str) -> list[str]:
-        """Return what starts a gateway."""
+        """Return the command that starts a gateway."""
         return [sys.executable, str(PROGRAM)]
 
     def get_store(self, name: str) -> str:
-        """Return the address at which a process reaches the store."""
-        return self.addresses[_STORE]
+        """Return the address under which a process reaches the store."""
+        return self.addresses[_STORE_NAME]
 
     def _write_settings(
-        self, name: str, file: pathlib.Path, grace: float
+        self, name: str, settings_path: pathlib.Path, grace: float
     ) -> None:
         ip = f"127.0.0.{self._next_host}"
         self._next_host += 1
@@ -118,25 +136,30 @@
             },
             "platform": {"address": self.get_store(name)},
         }
-        file.write_bytes(msgspec.json.encode(settings))
+        settings_path.write_bytes(msgspec.json.encode(settings))
 
     def is_ready(self, name: str) -> bool:
-        """Return whether a gateway says that it takes requests."""
+        """Return whether a gateway reports that it accepts requests."""
         return self.answers(f"http://{self.readies[name]}/")
 
     def answers(self, url: str) -> bool:
-        """Return whether an address answers 200."""
+        """Return whether a GET request to a URL is answered with 200."""
         try:
             return self.http.request("GET", url, timeout=2.0).status == 200
         except (urllib3.exceptions.HTTPError, OSError):
             return False
 
     def put_configuration(self, **changes: typing.Any) -> None:
-        """Write the next version of the configuration."""
+        """Write the next version of the configuration.
+
+        Args:
+            changes: Top-level fields that replace those of
+                `make_configuration`.
+        """
         self.version += 1
         spec = make_configuration(self.version) | changes
         body = {"metadata": {"name": "main"}, "spec": spec}
-        base = f"http://{self.addresses[_STORE]}{_PATH}/config"
+        base = f"http://{self.addresses[_STORE_NAME]}{_OBJECTS_PATH}/config"
         data = msgspec.json.encode(body)
         response = self.http.request("PUT", f"{base}/main", body=data)
         if response.status == 404:
@@ -144,17 +167,17 @@
         assert response.status == 200, response.data
 
     def set_store(self, **faults: typing.Any) -> None:
-        """Set how the store misbehaves."""
-        url = f"http://{self.addresses[_STORE]}/control/objectapi"
+        """Set the faults that the store simulates."""
+        url = f"http://{self.addresses[_STORE_NAME]}/control/objectapi"
         self.http.request("POST", url, body=msgspec.json.encode(faults))
 
     def list_runs(self, *names: str) -> list[dict[str, typing.Any]]:
-        """Return the requests that some servers ran, in order."""
-        found = []
+        """Return the requests that each of the servers ran, in order."""
+        runs = []
         for name in names:
             url = f"http://{self.addresses[name]}/control/runs"
-            found += msgspec.json.decode(self.http.request("GET", url).data)
-        return found
+            runs += msgspec.json.decode(self.http.request("GET", url).data)
+        return runs
 
 
 def make_configuration(version: int) -> dict[str, typing.Any]:
@@ -163,7 +186,7 @@
         {"name": "m", "size": 2, "share": 1.0, "loadS": 0.5, "warmS": 0.1}
     ]
     engine = {"slots": 4, "models": models, "formMs": 0.0}
-    kinds: dict[str, dict[str, typing.Any]] = {
+    routes_by_prefix: dict[str, dict[str, typing.Any]] = {
         "/stream/": {
             "kind": "streaming",
             "service": "pool",
@@ -185,7 +208,7 @@
                 "targetLatencyMs": 200,
                 **fields,
             }
-            for prefix, fields in kinds.items()
+            for prefix, fields in routes_by_prefix.items()
         ],
         "services": [{"name": "pool", "engine": engine}, {"name": "app"}],
         "limits": {"maxBodyBytes": 20_000, "maxHeaderBytes": 4096},
