--- a/bench/demo.py
+++ b/bench/demo.py
@@ -1,6 +1,7 @@
-"""The demonstration: a small site from start to stop, each step checked.
+"""Demonstration of a small site, from start to graceful stop.
 
-Exits 0 when every step was right; else 1, naming the step.
+The result of each step is checked. Exits with 0 if every step succeeded;
+otherwise with 1, after naming the step that failed.
 """
 
 import collections
@@ -22,7 +23,7 @@
             ("winnipeg-1", "winnipeg"))  # fmt: skip
 _ENGINES = 3
 _READY_SECONDS = 40.0
-_SHORT = """
+_ENTRY_SETTINGS = """
 [replicas]
 load_time = 1
 sighting_interval = 0.5
@@ -30,7 +31,7 @@
 [requests]
 entries_ttl = 3
 """
-_PROFILE = """
+_PROFILE_INI = """
 [profile counter]
 model = aftercare-large
 service_class = critical
@@ -38,7 +39,7 @@
 replica_size = 2
 capacity = 16
 """
-_QUESTION = {
+_CHAT_REQUEST = {
     "model": "counter",
     "messages": [{"role": "user", "content": "How to clean a new stud?"}],
     "max_tokens": 12,
@@ -47,7 +48,11 @@
 
 
 class Demo:
-    """The steps of the demonstration."""
+    """Runs and prints the steps of the demonstration.
+
+    Attributes:
+        step: Title of the current step, for the error message.
+    """
 
     def __init__(self, fleet: fleet_module.Fleet) -> None:
         self._fleet = fleet
@@ -55,60 +60,66 @@
         self.step = ""
 
     def run(self) -> None:
-        """Go through all steps."""
+        """Run all steps.
+
+        Raises:
+            fleet_module.FleetError: A step failed.
+        """
         started = time.monotonic()
-        self._begin("start the processes")
-        self._start()
-        self._begin("apply the profile")
-        self._apply()
-        self._begin("wait for two replicas")
-        self._await_replicas()
-        self._begin("ask for addresses")
-        prefix = self._ask_addresses()
-        self._begin("chat completion, streamed")
-        self._show(" ".join(self._stream("regina-1", _QUESTION)))
-        self._begin("chat completion, whole")
-        self._chat()
-        self._begin("sizing question")
-        self._ask_sizing()
-        self._begin("reorder, and the same again through another entry")
-        self._reorder(f"{prefix}order-4711")
-        self._begin("the same with a key of the caller's own")
-        self._reorder("studio-17-order-4712")
-        self._begin("stop an entry while a stream runs")
+        self._begin_step("start the processes")
+        self._start_processes()
+        self._begin_step("apply the profile")
+        self._apply_profile()
+        self._begin_step("wait for two replicas")
+        self._wait_for_replicas()
+        self._begin_step("ask for addresses")
+        prefix = self._request_addresses()
+        self._begin_step("chat completion, streamed")
+        self._print(" ".join(self._request_stream("regina-1", _CHAT_REQUEST)))
+        self._begin_step("chat completion, whole")
+        self._request_chat()
+        self._begin_step("sizing question")
+        self._request_sizing()
+        self._begin_step("reorder, and the same again through another entry")
+        self._send_reorder(f"{prefix}order-4711")
+        self._begin_step("the same with a key of the caller's own")
+        self._send_reorder("studio-17-order-4712")
+        self._begin_step("stop an entry while a stream runs")
         self._stop_entry()
-        self._begin("time line")
+        self._begin_step("time line")
         self._print_timeline()
-        self._show(f"done in {time.monotonic() - started:.1f} s")
+        self._print(f"done in {time.monotonic() - started:.1f} s")
 
-    def _begin(self, step: str) -> None:
+    def _begin_step(self, step: str) -> None:
         self.step = step
         print(f"\n{next(self._steps)}. {step}", flush=True)
 
     @staticmethod
-    def _show(text: str) -> None:
+    def _print(text: str) -> None:
         print(f"   {text}", flush=True)
 
     @staticmethod
-    def _check(holds: bool, message: str) -> None:
-        if not holds:
+    def _check(condition: bool, message: str) -> None:
+        if not condition:
             raise fleet_module.FleetError(message)
 
     # -- Steps
 
-    def _start(self) -> None:
+    def _start_processes(self) -> None:
         fleet = self._fleet
-        for domain, place in (
+        for domain, datacentre in (
             ("fabric-a", "regina"),
             ("fabric-b", "winnipeg"),
         ):
             for number in range(1, _ENGINES + 1):
-                fleet.start_engine(f"{domain}-{number}", domain, place)
+                fleet.start_engine(f"{domain}-{number}", domain, datacentre)
         fleet.start_service("sizing-1", "sizing", "regina")
         fleet.start_service("reorders-1", "reorders", "winnipeg")
-        for name, place in _ENTRIES:
+        for name, datacentre in _ENTRIES:
             fleet.add_entry(
-                fleet_module.EntrySpec(id=name, datacentre=place, extra=_SHORT)
+                fleet_module.EntrySpec(
+                    id=name, datacentre=datacentre, extra=_ENTRY_SETTINGS
+                )
             )
         fleet.start_platform()
         for name, _ in _ENTRIES:
@@ -119,62 +130,71 @@
                 _READY_SECONDS,
                 f"{name} is ready",
             )
-            self._show(f"{name} is ready at {fleet.addresses[name]}")
+            self._print(f"{name} is ready at {fleet.addresses[name]}")
         fleet_module.wait_until(
-            self._all_known, _READY_SECONDS, "the entries know each other"
+            self._has_all_members,
+            _READY_SECONDS,
+            "the entries know each other",
         )
 
-    def _all_known(self) -> bool:
+    def _has_all_members(self) -> bool:
         status = self._fleet.read_json("regina-1", "status")
         live = [
-            one
-            for one in status["members"]
-            if one["state"] == "live" and one["incarnation"]
+            member
+            for member in status["members"]
+            if member["state"] == "live" and member["incarnation"]
         ]
         return len(live) == len(_ENTRIES)
 
-    def _apply(self) -> None:
-        file = self._fleet.path / "profiles.ini"
-        file.write_text(_PROFILE)
-        done = self._fleet.run_tool("regina-2", "profile", "apply", str(file))
-        self._check(done.returncode == 0, done.stdout + done.stderr)
-        self._show(done.stdout.strip())
+    def _apply_profile(self) -> None:
+        profile_path = self._fleet.path / "profiles.ini"
+        profile_path.write_text(_PROFILE_INI)
+        result = self._fleet.run_tool(
+            "regina-2", "profile", "apply", str(profile_path)
+        )
+        self._check(result.returncode == 0, result.stdout + result.stderr)
+        self._print(result.stdout.strip())
 
-    def _await_replicas(self) -> None:
+    def _wait_for_replicas(self) -> None:
         seconds = fleet_module.wait_until(
             lambda: len(self._list_usable()) == 2,
             _READY_SECONDS,
             "two replicas serve",
         )
         for replica in self._list_usable():
-            self._show(f"{replica['id']}: {', '.join(replica['members'])}")
-        self._show(f"after {seconds:.1f} s")
+            self._print(f"{replica['id']}: {', '.join(replica['members'])}")
+        self._print(f"after {seconds:.1f} s")
 
     def _list_usable(self) -> list[Json]:
-        """Return the replicas that every entry would use."""
+        """Return the replicas that every entry reports as usable."""
         counts: collections.Counter[str] = collections.Counter()
-        found: dict[str, Json] = {}
+        replicas: dict[str, Json] = {}
         for name, _ in _ENTRIES:
             status = self._fleet.read_json(name, "status")
             for domain in status["domains"]:
                 for replica in domain["replicas"]:
                     if replica["usable"]:
                         counts[replica["id"]] += 1
-                        found[replica["id"]] = replica
-        everywhere = len(_ENTRIES)
+                        replicas[replica["id"]] = replica
+        entry_count = len(_ENTRIES)
         return [
-            found[one] for one in sorted(found) if counts[one] == everywhere
+            replicas[replica_id]
+            for replica_id in sorted(replicas)
+            if counts[replica_id] == entry_count
         ]
 
-    def _ask_addresses(self) -> str:
+    def _request_addresses(self) -> str:
         answer = self._get_json("GET", "winnipeg-1", "/v1/entries")
         names = [one["node"] for one in answer["entries"]]
-        self._check(names[0] == "winnipeg-1", "own data centre first")
-        self._show(f"use {', '.join(names)} for {answer['ttl']:g} s")
+        self._check(
+            names[0] == "winnipeg-1",
+            "the own data centre's entry is not named first",
+        )
+        self._print(f"use {', '.join(names)} for {answer['ttl']:g} s")
         return answer["key_prefix"]
 
-    def _stream(self, entry: str, question: Json) -> list[str]:
-        body = msgspec.json.encode({**question, "stream": True})
+    def _request_stream(self, entry: str, chat_request: Json) -> list[str]:
+        body = msgspec.json.encode({**chat_request, "stream": True})
         response = self._fleet.http.request(
             "POST",
             f"http://{self._fleet.addresses[entry]}/v1/chat/completions",
@@ -185,74 +205,91 @@
         self._check(response.status == 200, f"status {response.status}")
         text = b"".join(response.stream()).decode()
         events = [line[6:] for line in text.split("\n\n") if line]
-        self._check(events[-1] == "[DONE]", "the stream has its end mark")
+        self._check(events[-1] == "[DONE]", "the stream has no end mark")
         tokens = [
-            msgspec.json.decode(one)["choices"][0]["delta"]["content"].strip()
-            for one in events[:-1]
+            msgspec.json.decode(event)["choices"][0]["delta"][
+                "content"
+            ].strip()
+            for event in events[:-1]
         ]
-        wanted = question["max_tokens"]
-        self._check(len(tokens) == wanted, f"{len(tokens)} of {wanted} tokens")
+        token_count = chat_request["max_tokens"]
+        self._check(
+            len(tokens) == token_count,
+            f"{len(tokens)} of {token_count} tokens",
+        )
         return tokens
 
-    def _chat(self) -> None:
+    def _request_chat(self) -> None:
         answer = self._get_json(
-            "POST", "winnipeg-1", "/v1/chat/completions", _QUESTION
+            "POST", "winnipeg-1", "/v1/chat/completions", _CHAT_REQUEST
         )
         text = answer["choices"][0]["message"]["content"]
-        self._check(text.startswith("How to clean"), "the answer is ours")
-        self._show(text)
+        self._check(
+            text.startswith("How to clean"),
+            "the answer does not repeat the question",
+        )
+        self._print(text)
 
-    def _ask_sizing(self) -> None:
+    def _request_sizing(self) -> None:
         answer = self._get_json(
             "POST", "regina-2", "/v1/services/sizing/ask", {"gauge": 16}
         )
-        self._show(str(answer["request"]))
+        self._print(str(answer["request"]))
 
-    def _reorder(self, key: str) -> None:
+    def _send_reorder(self, key: str) -> None:
         path = "/v1/services/reorders/orders"
         order = {"order": key, "item": "titanium stud", "count": 20}
         headers = {"Idempotency-Key": key}
         first = self._get_json("POST", "winnipeg-1", path, order, headers)
-        again = self._get_json("POST", "regina-1", path, order, headers)
-        self._check(first == again, "the same answer twice")
+        second = self._get_json("POST", "regina-1", path, order, headers)
+        self._check(first == second, "the two answers differ")
         runs = self._get_json("GET", "reorders-1", "/control/runs")
         text = msgspec.json.encode(order).decode()
-        self._check(runs.get(text) == 1, f"ran {runs.get(text)} times")
-        self._show(f"{key}: answered twice, ran once")
+        self._check(
+            runs.get(text) == 1, f"the order ran {runs.get(text)} times"
+        )
+        self._print(f"{key}: answered twice, ran once")
 
     def _stop_entry(self) -> None:
-        question = {**_QUESTION, "max_tokens": 100}
+        chat_request = {**_CHAT_REQUEST, "max_tokens": 100}
         outcome: list[object] = []
 
         def stream() -> None:
             try:
-                outcome.append(len(self._stream("regina-1", question)))
+                outcome.append(
+                    len(self._request_stream("regina-1", chat_request))
+                )
             except (
                 fleet_module.FleetError,
                 urllib3.exceptions.HTTPError,
-            ) as e:
-                outcome.append(e)
+            ) as error:
+                outcome.append(error)
 
-        running = threading.Thread(target=stream)
-        running.start()
+        reader = threading.Thread(target=stream)
+        reader.start()
         time.sleep(0.3)
         self._fleet.send_signal("regina-1", signal.SIGTERM)
         time.sleep(0.5)
         answer = self._get_json("GET", "regina-2", "/v1/entries")
         names = [one["node"] for one in answer["entries"]]
-        self._check("regina-1" not in names, f"it is left out of {names}")
-        running.join(20)
-        self._check(outcome == [100], f"the stream was not cut: {outcome}")
+        self._check(
+            "regina-1" not in names, f"regina-1 is still named: {names}"
+        )
+        reader.join(20)
+        self._check(outcome == [100], f"the stream was cut: {outcome}")
         code = self._fleet.wait("regina-1", 15)
-        self._check(code == 0, f"it exits with 0, not {code}")
-        self._show("the stream ended whole, the entry exited with 0")
+        self._check(code == 0, f"exit code {code} instead of 0")
+        self._print("the stream ended whole, the entry exited with 0")
 
     def _print_timeline(self) -> None:
-        done = self._fleet.run_tool("regina-2", "timeline")
-        self._check(done.returncode == 0, done.stderr)
-        self._check("replica_serving" in done.stdout, "replicas are in it")
-        for line in done.stdout.splitlines():
-            self._show(line)
+        result = self._fleet.run_tool("regina-2", "timeline")
+        self._check(result.returncode == 0, result.stderr)
+        self._check(
+            "replica_serving" in result.stdout,
+            "the timeline has no replica_serving event",
+        )
+        for line in result.stdout.splitlines():
+            self._print(line)
 
     def _get_json(
         self,
@@ -270,7 +307,10 @@
 
 
 def main() -> int:
-    """Run the demonstration; return the exit code."""
+    """Run the demonstration; return the exit code.
+
+    A failure prints the step and the last log lines of each entry.
+    """
     with fleet_module.Fleet() as fleet:
         demo = Demo(fleet)
         try:
