--- a/bench/digests.py
+++ b/bench/digests.py
@@ -1,7 +1,8 @@
-"""What nodes tell each other: datagrams, bytes and processor time.
+"""Traffic and processor time of heartbeats and digests between nodes.
 
-Every node is the real one; the network is this module's. It carries the
-datagrams as encoded, loses them where a node is dead, and counts.
+The nodes are real `Presence` and `Relay` objects on a simulated network
+in virtual time. The network counts datagrams and their encoded size, and
+drops those to or from dead nodes.
 """
 
 import statistics
@@ -16,24 +17,24 @@
 
 __all__ = ["Network", "Node", "make_entry", "measure_digests"]
 
-# Seconds between two rounds, as in the transport.
+# Seconds between two rounds of heartbeats, as in the transport.
 ROUND = 0.4
-_SECONDS = 8.0
+_MEASURE_SECONDS = 8.0
 # UDP and IP headers of a datagram, in bytes.
-_ENVELOPE = 28
-# Nodes, data centres, replicas that serve.
+_HEADER_BYTES = 28
+# Numbers of nodes, data centres and serving replicas.
 _SIZES = ((13, 3, 15), (21, 3, 15), (142, 3, 40), (350, 7, 131))
-# Requests in work at a node at the sizes of today.
-_IN_WORK = 3
+# Requests in flight from a node; typical of the sizes in use today.
+_REQUESTS_PER_NODE = 3
 
 
 def make_entry(
-    name: str, place: str, capacity: float = 0.1
+    name: str, datacentre: str, capacity: float = 0.1
 ) -> presence_module.NodeEntry:
-    """Return how to reach a node of this network."""
+    """Return the node entry of a node of the simulated network."""
     return presence_module.NodeEntry(
         id=ids.NodeId(name),
-        datacentre=ids.DatacentreName(place),
+        datacentre=ids.DatacentreName(datacentre),
         front=f"{name}:1",
         heartbeats=f"{name}:2",
         peer=f"{name}:3",
@@ -43,7 +44,19 @@
 
 
 class Node:
-    """One node: what it tells, and what it was told."""
+    """A simulated node: what it sends and what it has received.
+
+    Attributes:
+        loads: Its requests in flight, by upstream.
+        lost: Leaders of replicas that it reports as lacking a member.
+        slow: Leaders of replicas that it reports as slowed by a member.
+        answered_at: Time of the store's last answer to this node; None if
+            it has not asked.
+        heard_lost: Time of the first report by leader, for lost members.
+        heard_slow: Time of the first report by leader, for slow members.
+        remote_loads: Requests in flight by upstream, from the newest total
+            digest.
+    """
 
     def __init__(self, entry: presence_module.NodeEntry) -> None:
         self.entry = entry
@@ -54,17 +67,16 @@
         self.loads: dict[str, int] = {}
         self.lost: tuple[str, ...] = ()
         self.slow: tuple[str, ...] = ()
-        # When the store last answered it; None where it never asked.
-        self.answered: float | None = None
+        self.answered_at: float | None = None
         self.heard_lost: dict[str, float] = {}
         self.heard_slow: dict[str, float] = {}
-        self.remote: dict[str, int] = {}
+        self.remote_loads: dict[str, int] = {}
         self.sent = 0
         self.received = 0
         self.bytes_sent = 0
 
     def compose(self, now: float) -> list[digests.Datagram]:
-        """Return what is due to be sent."""
+        """Return the datagrams that are due in this round."""
         self.serial += 1
         own = presence_module.Heartbeat(
             node=self.entry,
@@ -78,22 +90,22 @@
         return self.relay.list_datagrams(own, now)
 
     def _get_store_age(self, now: float) -> float | None:
-        if self.answered is None or not self.presence.reads_store(now):
+        if self.answered_at is None or not self.presence.reads_store(now):
             return None
-        return now - self.answered
+        return now - self.answered_at
 
-    def ask_store(self, is_refused: bool, now: float) -> None:
-        """Read the store, where it is this node's turn."""
+    def read_store(self, is_refused: bool, now: float) -> None:
+        """Read the store if this node is a reader; record the outcome."""
         if not self.presence.reads_store(now):
             return
         if is_refused:
             self.presence.store_history.note_failure(now)
             return
-        self.answered = now
+        self.answered_at = now
         self.presence.store_history.note_answer(now)
 
-    def hear(self, message: digests.Message, now: float) -> None:
-        """Take a message as the gateway does."""
+    def receive(self, message: digests.Message, now: float) -> None:
+        """Handle a received message as the gateway does."""
         self.received += 1
         if isinstance(message, digests.Alarm):
             return
@@ -106,22 +118,33 @@
                 self.relay.note_heartbeat(message, now)
             return
         if self.relay.note_digest(message, now) and not message.is_part:
-            self.remote = message.loads
+            self.remote_loads = message.loads
 
 
 class Network:
-    """Nodes that tell each other what they have, in rounds."""
-
-    def __init__(self, each: int, places: tuple[str, ...], large: int) -> None:
+    """A simulated network whose nodes send in rounds.
+
+    Attributes:
+        now: Virtual time in seconds.
+        dead: Names of nodes whose datagrams are dropped, both ways.
+        refused: Names of nodes that the store refuses; None simulates no
+            store.
+    """
+
+    def __init__(
+        self,
+        nodes_per_datacentre: int,
+        datacentres: tuple[str, ...],
+        large_nodes: int,
+    ) -> None:
         self.now = 100.0
         self.nodes: dict[str, Node] = {}
-        for place in places:
-            for number in range(each):
-                name = f"{place}-{number}"
-                capacity = 1.0 if number < large else 0.1
-                self.nodes[name] = Node(make_entry(name, place, capacity))
+        for datacentre in datacentres:
+            for number in range(nodes_per_datacentre):
+                name = f"{datacentre}-{number}"
+                capacity = 1.0 if number < large_nodes else 0.1
+                self.nodes[name] = Node(make_entry(name, datacentre, capacity))
         self.dead: set[str] = set()
-        # Nodes that the store turns away; None where there is no store.
         self.refused: set[str] | None = None
         self._encoder = msgspec.msgpack.Encoder()
         entries = [node.entry for node in self.nodes.values()]
@@ -129,29 +152,29 @@
             node.presence.note_list(entries, self.now)
 
     def run(self, seconds: float) -> None:
-        """Let all nodes send what is due until some time has passed."""
+        """Run rounds until a number of seconds of virtual time has passed."""
         end = self.now + seconds
         while self.now < end:
             self.now += ROUND
             for name in self.nodes:
                 if self.refused is not None:
                     is_refused = name in self.refused
-                    self.nodes[name].ask_store(is_refused, self.now)
+                    self.nodes[name].read_store(is_refused, self.now)
                 self.send(name)
 
     def send(self, name: str) -> None:
-        """Carry what one node sends; relays pass urgent news on at once."""
+        """Deliver what a node sends; relays forward urgent news at once."""
         urgent = [name]
         while urgent:
             sender = urgent.pop()
             if sender in self.dead:
                 continue
             for datagram in self.nodes[sender].compose(self.now):
-                urgent += self._carry(self.nodes[sender], datagram)
+                urgent += self._deliver(self.nodes[sender], datagram)
 
-    def _carry(self, sender: Node, datagram: digests.Datagram) -> list[str]:
-        """Deliver a datagram; return who has news that cannot wait."""
-        size = len(self._encoder.encode(datagram.message)) + _ENVELOPE
+    def _deliver(self, sender: Node, datagram: digests.Datagram) -> list[str]:
+        """Deliver a datagram; return the receivers that have urgent news."""
+        size = len(self._encoder.encode(datagram.message)) + _HEADER_BYTES
         urgent = []
         for entry in datagram.to:
             sender.sent += 1
@@ -159,7 +182,7 @@
             if entry.id in self.dead:
                 continue
             node = self.nodes[entry.id]
-            node.hear(datagram.message, self.now)
+            node.receive(datagram.message, self.now)
             if node.relay.take_urgent():
                 urgent.append(entry.id)
         return urgent
@@ -170,46 +193,48 @@
             node for name, node in self.nodes.items() if name not in self.dead
         ]
 
-    def find_relays(self, place: str) -> list[str]:
-        """Return the relays of a data centre, as some node sees them."""
+    def find_relays(self, datacentre: str) -> list[str]:
+        """Return the relays of a data centre, as one live node sees them."""
         node = self.list_live()[0]
-        relays = node.presence.list_relays(ids.DatacentreName(place), self.now)
-        return [one.id for one in relays]
+        relays = node.presence.list_relays(
+            ids.DatacentreName(datacentre), self.now
+        )
+        return [entry.id for entry in relays]
 
     def clear(self) -> None:
-        """Begin to count anew."""
+        """Reset the counts of datagrams and bytes."""
         for node in self.nodes.values():
             node.sent = node.received = node.bytes_sent = 0
 
 
 @report.register("digests")
 def measure_digests() -> None:
-    """Measure the traffic of nodes at rest with requests in work."""
-    for count, places, replicas in _SIZES:
-        names = tuple(f"d{number}" for number in range(places))
-        net = Network(count // places, names, 0 if count < 32 else 2)
+    """Measure the traffic of idle nodes that have requests in flight."""
+    for count, datacentres, replicas in _SIZES:
+        names = tuple(f"d{number}" for number in range(datacentres))
+        net = Network(count // datacentres, names, 0 if count < 32 else 2)
         for number, node in enumerate(net.nodes.values()):
             node.loads = {
-                f"i-{(number * 7 + one) % replicas:010x}": 1
-                for one in range(_IN_WORK)
+                f"i-{(number * 7 + offset) % replicas:010x}": 1
+                for offset in range(_REQUESTS_PER_NODE)
             }
         net.run(4.0)
         net.clear()
         started = time.process_time()
-        net.run(_SECONDS)
-        spent = time.process_time() - started
+        net.run(_MEASURE_SECONDS)
+        processor_time = time.process_time() - started
         live = net.list_live()
-        for what, values in (
+        for quantity, values in (
             ("datagrams sent", [node.sent for node in live]),
             ("datagrams taken", [node.received for node in live]),
             ("KB sent", [node.bytes_sent / 1000.0 for node in live]),
         ):
-            for kind, value in (
+            for statistic, value in (
                 ("median", statistics.median(values)),
                 ("busiest", max(values)),
             ):
-                metric = f"{what} a second, {kind}, {count} nodes"
-                report.emit("digests", metric, value / _SECONDS, "1/s")
-        share = spent / _SECONDS / len(live) * 100.0
+                metric = f"{quantity} a second, {statistic}, {count} nodes"
+                report.emit("digests", metric, value / _MEASURE_SECONDS, "1/s")
+        share = processor_time / _MEASURE_SECONDS / len(live) * 100.0
         metric = f"decisions of a node, mean, {count} nodes"
         report.emit("digests", metric, share, "% of a core")
--- a/tests/test_digests.py
+++ b/tests/test_digests.py
@@ -112,7 +112,7 @@
             node.loads = {"i-1": 1, "i-2": 2}
         self.net.run(2.0)
         for name in ("a-30", "b-40", "c-46"):
-            remote = self.net.nodes[name].remote
+            remote = self.net.nodes[name].remote_loads
             self.assertEqual(remote, {"i-1": 141, "i-2": 282})
 
     def test_a_loss_is_reported_to_all_at_once(self):
