--- a/bench/surge.py
+++ b/bench/surge.py
@@ -1,6 +1,8 @@
-"""Loads of half to four times the capacity: what is in time, by policy.
+"""Share of requests in time at half to four times the usual load.
 
-Also what a decision costs before many replicas.
+The share is measured for each placement policy of `standins.surge`, in
+virtual time. Also measured is the processor cost of a placement decision
+with many replicas.
 """
 
 import statistics
@@ -16,17 +18,22 @@
 __all__ = ["measure_surge"]
 
 _SEEDS = (1, 2, 3)
-# Requests a second at the usual load: 60 in 100 of the places.
+# Requests a second at the usual load, which takes 60 % of the slots.
 _RATE = 39.0
+# Multiples of the usual load.
 _FACTORS = (0.5, 1.0, 1.5, 2.0, 3.0, 4.0)
-# Replicas before which the cost of a decision is measured: 162 instances
-# in replicas of 12 and of 6.
-_REPLICAS = (6, 18, 130)
+# Numbers of replicas at which the cost of a decision is measured; 18 are 162
+# instances in replicas of 12 and of 6 members.
+_REPLICA_COUNTS = (6, 18, 130)
 _DECISIONS = 20_000
 
 
-def _measure_share(policy: surge.Policy, factor: float) -> float:
-    """Return the part of a surge's requests that is in time."""
+def _measure_share_in_time(policy: surge.Policy, factor: float) -> float:
+    """Return the share of a surge's requests that is answered in time.
+
+    It is the mean over all seeds; `factor` is the load as a multiple of
+    the usual one.
+    """
     shares = []
     for seed in _SEEDS:
         replay = surge.Replay(policy, seed=seed)
@@ -37,30 +44,30 @@
 
 
 def _measure_cost(replicas: int) -> float:
-    """Return the microseconds that a place for a request takes."""
+    """Return the mean microseconds of a placement decision."""
     fleet = upstreams.Fleet()
     fleet.replace([surge.make_leader(n) for n in range(replicas)], 1, 0)
-    here = ids.DatacentreName("here")
-    balancer = balancing.Balancer(fleet, here)
+    datacentre = ids.DatacentreName("here")
+    balancer = balancing.Balancer(fleet, datacentre)
     placer = placing.Placer(balancer)
     tickets = [surge.make_ticket(f"r{n}") for n in range(_DECISIONS)]
-    began = time.perf_counter()
+    started = time.perf_counter()
     for ticket in tickets:
         found = placer.try_place(ticket, 0.0)
         if isinstance(found, placing.Placement):
             balancer.end(found.upstream.id)
-    return (time.perf_counter() - began) / _DECISIONS * 1e6
+    return (time.perf_counter() - started) / _DECISIONS * 1e6
 
 
 @report.register("surge")
 def measure_surge() -> None:
-    """Print what is in time by load and policy, and the cost."""
+    """Measure the share in time by load and policy, and decision costs."""
     for factor in _FACTORS:
-        known = _measure_share(surge.Policy.ALL_KNOWN, factor)
+        baseline = _measure_share_in_time(surge.Policy.ALL_KNOWN, factor)
         for policy in (surge.Policy.AT_ONCE, surge.Policy.WAITS):
-            share = _measure_share(policy, factor)
+            share = _measure_share_in_time(policy, factor)
             metric = f"in_time_{policy.value}_{factor:g}x"
-            report.emit("surge", metric, share, "share", known)
-    for replicas in _REPLICAS:
+            report.emit("surge", metric, share, "share", baseline)
+    for replicas in _REPLICA_COUNTS:
         metric = f"decision_{replicas}_replicas"
         report.emit("surge", metric, _measure_cost(replicas), "us")
