--- a/bench/nodes.py
+++ b/bench/nodes.py
@@ -1,8 +1,9 @@
-"""Processor time of one gateway in a large fleet at rest.
+"""Processor time of one gateway process in a large, idle fleet.
 
-The gateway is a real process. The other nodes are this module's: their
-entries lie in the store, their digests come as datagrams, and they answer
-who asks for the list of instances, of which a few change all the time.
+Only the gateway is real. The other nodes are simulated: their entries are
+in the store, their heartbeats and digests are sent as datagrams, and their
+list of instances, in which a few entries change each round, is served over
+HTTP.
 """
 
 from collections import abc
@@ -29,31 +30,31 @@
 
 RelayRequest = presence_module.RelayRequest
 
-# Nodes, instances, data centres.
+# Numbers of nodes, instances and data centres.
 _SIZES = ((30, 165, 3), (100, 560, 3), (195, 1100, 5), (350, 2100, 7))
 _DOMAIN_SIZE = 73
 _REPLICA_SIZE = 8
 _ROUND_SECONDS = 0.4
-# Instances whose entry changes in a round, one in so many.
-_CHANGING = 100
-_WARM_SECONDS = 6.0
-_SECONDS = 10.0
-_MODEL = "m"
-_NAME = "node"
-# Above those that the store gives while it is filled.
-_REVISION = 100_000
+# One in so many instances changes its entry in each round.
+_INSTANCES_PER_CHANGE = 100
+_WARMUP_SECONDS = 6.0
+_MEASURE_SECONDS = 10.0
+_MODEL_NAME = "m"
+_GATEWAY_NAME = "node"
+# Above the revisions that the store assigns while it is filled.
+_FIRST_REVISION = 100_000
 _LEASE_SECONDS = 1.8
-# What machines of each size give to their process.
-_SMALL = {"cpuShare": 0.5, "cores": 1, "linkMbps": 20.0}
-_LARGE = {"cpuShare": 0.7, "cores": 3, "linkMbps": 200.0}
-_RELAYS = 2
+# Limits that machines of each size set for the gateway process.
+_SMALL_LIMITS = {"cpuShare": 0.5, "cores": 1, "linkMbps": 20.0}
+_LARGE_LIMITS = {"cpuShare": 0.7, "cores": 3, "linkMbps": 200.0}
+_RELAYS_PER_DATACENTRE = 2
 _MILLISECONDS = 1000.0
 
 
-class _Peers:
-    """All nodes of a fleet but the one that is measured."""
+class _SimulatedNodes:
+    """Simulates all nodes of a fleet except the gateway that is measured."""
 
-    def __init__(self, count: int, instances: int, places: int) -> None:
+    def __init__(self, count: int, instances: int, datacentres: int) -> None:
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.bind(("127.0.0.1", 0))
         self._server = http.server.ThreadingHTTPServer(
@@ -61,35 +62,41 @@
         )
         self._encoder = msgspec.msgpack.Encoder()
         self._lock = threading.Lock()
-        self._log: changes.ChangeLog[ports.StoredObject] = changes.ChangeLog()
-        self._revision = _REVISION
+        self._change_log: changes.ChangeLog[ports.StoredObject] = (
+            changes.ChangeLog()
+        )
+        self._revision = _FIRST_REVISION
         self._serial = 0
         self._running = True
         self._started = time.monotonic()
         self.instances = [
-            _make_instance(number, places) for number in range(instances)
+            _make_instance(number, datacentres) for number in range(instances)
         ]
         self.domains = [
             f"d{number}"
             for number in range((instances - 1) // _DOMAIN_SIZE + 1)
         ]
         self.nodes = [
-            self._make_entry(number, places) for number in range(count)
+            self._make_entry(number, datacentres) for number in range(count)
         ]
         self._publish()
 
     def _make_entry(
-        self, number: int, places: int
+        self, number: int, datacentres: int
     ) -> presence_module.NodeEntry:
-        own = "127.0.0.1:{}"
+        loopback = "127.0.0.1:{}"
         return presence_module.NodeEntry(
             id=ids.NodeId(f"node-{number:03}"),
-            datacentre=ids.DatacentreName(_name_place(number, places)),
-            front=own.format(9),
-            heartbeats=own.format(self._socket.getsockname()[1]),
-            peer=own.format(self._server.server_address[1]),
+            datacentre=ids.DatacentreName(
+                _get_datacentre_name(number, datacentres)
+            ),
+            front=loopback.format(9),
+            heartbeats=loopback.format(self._socket.getsockname()[1]),
+            peer=loopback.format(self._server.server_address[1]),
             incarnation=1,
-            capacity=1.0 if number < _RELAYS * places else 0.2,
+            capacity=1.0
+            if number < _RELAYS_PER_DATACENTRE * datacentres
+            else 0.2,
         )
 
     def _make_handler(self) -> type[http.server.BaseHTTPRequestHandler]:
@@ -113,91 +120,103 @@
     def _publish(self) -> None:
         with self._lock:
             self._revision += 1
-            self._log.replace(self.instances, self._revision)
+            self._change_log.replace(self.instances, self._revision)
 
-    def _change_some(self) -> None:
-        """Have a few instances stage another model."""
+    def _change_instances(self) -> None:
+        """Flip the busy state of a few instances and publish the list."""
         count = len(self.instances)
-        step = max(1, count // _CHANGING)
-        for place in range(step):
-            number = (self._serial * step + place) % count
-            one = self.instances[number]
-            state = msgspec.json.decode(one.value)
+        step = max(1, count // _INSTANCES_PER_CHANGE)
+        for offset in range(step):
+            number = (self._serial * step + offset) % count
+            stored = self.instances[number]
+            state = msgspec.json.decode(stored.value)
             state["busy"] = not state["busy"]
             self.instances[number] = ports.StoredObject(
-                one.name, self._revision + 1, msgspec.json.encode(state)
+                stored.name, self._revision + 1, msgspec.json.encode(state)
             )
         self._publish()
 
     def answer(self, path: str) -> bytes:
-        """Return what has changed in the list."""
+        """Return the encoded changes of the list since a path's revision."""
         with self._lock:
-            found = self._log.list_since(peers.parse_since(path))
+            found = self._change_log.list_since(peers.parse_since(path))
             listing = ports.Listing(
                 found.objects,
                 self._revision,
                 found.removed,
                 found.since,
-                self._log.changed,
+                self._change_log.changed,
             )
         return peers.compress(msgspec.msgpack.encode(listing))
 
     # -- Digests and heartbeats
 
     def start(self, address: str, is_relay: bool) -> None:
-        """Tell the node at an address what is due until `stop`."""
+        """Send to the node at an address, round by round, until `stop`."""
         host, _, port = address.rpartition(":")
         target = (host, int(port))
         threading.Thread(target=self._server.serve_forever).start()
-        threading.Thread(target=self._run, args=(target, is_relay)).start()
+        threading.Thread(
+            target=self._send_rounds, args=(target, is_relay)
+        ).start()
 
-    def _run(self, target: tuple[str, int], is_relay: bool) -> None:
+    def _send_rounds(self, target: tuple[str, int], is_relay: bool) -> None:
         while self._running:
             self._serial += 1
-            self._change_some()
-            due = self._tell_relay() if is_relay else self._tell_member()
+            self._change_instances()
+            due = (
+                self._list_relay_messages()
+                if is_relay
+                else self._list_member_messages()
+            )
             for message in due:
                 self._socket.sendto(self._encoder.encode(message), target)
             time.sleep(_ROUND_SECONDS)
 
     def stop(self) -> None:
-        """Fall silent."""
+        """Stop sending and close the sockets."""
         self._running = False
         self._server.shutdown()
         self._server.server_close()
         time.sleep(_ROUND_SECONDS)
         self._socket.close()
 
-    def _tell_member(self) -> abc.Iterator[digests.Message]:
-        """Yield the views of the relays of the node's data centre."""
-        here = [one for one in self.nodes if one.datacentre == "a"]
-        for one in here[:_RELAYS]:
-            yield self._make_digest(one, False, self.nodes)
-
-    def _tell_relay(self) -> abc.Iterator[digests.Message]:
-        """Yield what a relay hears: its askers, and the other relays."""
-        places: dict[str, list[presence_module.NodeEntry]] = {}
-        for one in self.nodes:
-            places.setdefault(one.datacentre, []).append(one)
-        for place, nodes in places.items():
-            for number, one in enumerate(nodes[:_RELAYS]):
-                if place != "a" or number:
-                    mine = nodes[number::_RELAYS]
-                    yield self._make_digest(one, True, mine)
-        for number, one in enumerate(places["a"][_RELAYS:]):
+    def _list_member_messages(self) -> abc.Iterator[digests.Message]:
+        """Yield the total digests that a member receives from its relays."""
+        local_nodes = [node for node in self.nodes if node.datacentre == "a"]
+        for node in local_nodes[:_RELAYS_PER_DATACENTRE]:
+            yield self._make_digest(node, False, self.nodes)
+
+    def _list_relay_messages(self) -> abc.Iterator[digests.Message]:
+        """Yield the messages that a relay receives.
+
+        These are the partial digests of the other relays and the
+        heartbeats of the nodes of its data centre.
+        """
+        by_datacentre: dict[str, list[presence_module.NodeEntry]] = {}
+        for node in self.nodes:
+            by_datacentre.setdefault(node.datacentre, []).append(node)
+        for datacentre, nodes in by_datacentre.items():
+            for number, node in enumerate(nodes[:_RELAYS_PER_DATACENTRE]):
+                if datacentre != "a" or number:
+                    clients = nodes[number::_RELAYS_PER_DATACENTRE]
+                    yield self._make_digest(node, True, clients)
+        for number, node in enumerate(
+            by_datacentre["a"][_RELAYS_PER_DATACENTRE:]
+        ):
             asks = (
                 RelayRequest.FULL
-                if number % _RELAYS
+                if number % _RELAYS_PER_DATACENTRE
                 else RelayRequest.WITHOUT_LOADS
             )
             yield presence_module.Heartbeat(
-                node=one,
+                node=node,
                 serial=self._serial,
                 asks=asks,
                 ready=True,
                 configuration=1,
                 loads=self._make_loads(8),
-                instances=self._log.changed,
+                instances=self._change_log.changed,
             )
 
     def _make_digest(
@@ -207,7 +226,7 @@
         named: list[presence_module.NodeEntry],
     ) -> digests.Digest:
         full = self._serial % 4 == 0
-        nodes = {str(one.id): True for one in named}
+        nodes = {str(node.id): True for node in named}
         return digests.Digest(
             node=relay_node,
             serial=self._serial,
@@ -215,44 +234,44 @@
             nodes=nodes if full else None,
             nodes_hash=len(nodes),
             configuration=1,
-            instances=self._log.changed,
+            instances=self._change_log.changed,
             store_age=0.3,
             loads=self._make_loads(1),
             leases=self._make_leases(),
         )
 
     def _make_loads(self, apart: int) -> dict[str, int]:
-        """Return the requests in work at one in so many replicas."""
+        """Return the requests in flight at every `apart`-th replica."""
         step = _REPLICA_SIZE * apart
-        return {one.name: 3 for one in self.instances[::step]}
+        return {stored.name: 3 for stored in self.instances[::step]}
 
     def _make_leases(self) -> dict[str, presence_module.HeldLease]:
         return {
             name: presence_module.HeldLease(
-                _REVISION + self._serial, 1, self.nodes[0].id, 1
+                _FIRST_REVISION + self._serial, 1, self.nodes[0].id, 1
             )
             for name in self.domains
         }
 
 
-def _name_place(number: int, places: int) -> str:
-    return "abcdefgh"[number % places]
+def _get_datacentre_name(number: int, datacentres: int) -> str:
+    return "abcdefgh"[number % datacentres]
 
 
-def _make_instance(number: int, places: int) -> ports.StoredObject:
-    """Return the entry of a member of an open replica."""
+def _make_instance(number: int, datacentres: int) -> ports.StoredObject:
+    """Return the stored entry of a member of an open replica."""
     domain = number // _DOMAIN_SIZE
     leader, rank = divmod(number, _REPLICA_SIZE)
-    name = f"{_MODEL}.{_REPLICA_SIZE}.d{domain}-{leader}"
+    name = f"{_MODEL_NAME}.{_REPLICA_SIZE}.d{domain}-{leader}"
     state = {
         "service": "pool",
         "address": f"127.0.0.1:{20_000 + number}",
-        "zone": _name_place(domain, places),
+        "zone": _get_datacentre_name(domain, datacentres),
         "state": "ready",
         "slots": 11,
         "born": 1,
         "domain": f"d{domain}",
-        "staged": [_MODEL],
+        "staged": [_MODEL_NAME],
         "busy": False,
         "group": {"name": name, "epoch": 1, "rank": rank, "state": "open"},
     }
@@ -268,50 +287,55 @@
         epoch=ids.Epoch(1),
         ttl=_LEASE_SECONDS,
     )
-    held = domain_module.Domain(
+    stored_domain = domain_module.Domain(
         name=ids.DomainName(name),
         datacentre=ids.DatacentreName("a"),
         lease=lease,
     )
-    return msgspec.to_builtins(held)
+    return msgspec.to_builtins(stored_domain)
 
 
 class _Site(gateways_module.Gateways):
-    """A store that names the other nodes, and the gateway measured."""
+    """The store with the entries of all nodes, and the measured gateway."""
 
-    def fill(self, others: _Peers) -> None:
-        """Write the entries of nodes and instances, and a configuration."""
-        for one in others.nodes:
-            self._create("currantwall-nodes", one.id, msgspec.to_builtins(one))
+    def write_objects(self, others: _SimulatedNodes) -> None:
+        """Write the entries of the other nodes, instances and domains.
+
+        A configuration is written as well.
+        """
+        for node in others.nodes:
+            self._create_object(
+                "currantwall-nodes", node.id, msgspec.to_builtins(node)
+            )
         for stored in others.instances:
             spec = msgspec.json.decode(stored.value)
-            self._create("servers", stored.name, spec)
+            self._create_object("servers", stored.name, spec)
         for name in others.domains:
-            held = _make_domain(name, others.nodes[0].id)
-            self._create("currantwall-domains", name, held)
-        model = {"name": _MODEL, "size": _REPLICA_SIZE, "share": 1.0}
+            stored_domain = _make_domain(name, others.nodes[0].id)
+            self._create_object("currantwall-domains", name, stored_domain)
+        model = {"name": _MODEL_NAME, "size": _REPLICA_SIZE, "share": 1.0}
         engine = {"slots": 11, "models": [model]}
         services = [{"name": "pool", "engine": engine}]
         self.put_configuration(services=services, routes=[])
 
-    def _create(self, kind: str, name: str, spec: object) -> None:
+    def _create_object(self, kind: str, name: str, spec: object) -> None:
         address = self.addresses["platform"]
         url = f"http://{address}/currantwall/objects/{kind}"
         body = msgspec.json.encode({"metadata": {"name": name}, "spec": spec})
         self.http.request("POST", url, body=body)
 
-    def find_heartbeats(self) -> str:
-        """Return the address for datagrams of the gateway."""
-        text = (self.path / f"{_NAME}.json").read_bytes()
-        settings = msgspec.json.decode(text)
+    def get_heartbeat_address(self) -> str:
+        """Return the address at which the gateway receives heartbeats."""
+        data = (self.path / f"{_GATEWAY_NAME}.json").read_bytes()
+        settings = msgspec.json.decode(data)
         return f"{settings['ip']}:{settings['internalPorts'][0]}"
 
 
 def _measure(size: tuple[int, int, int], is_relay: bool) -> None:
-    count, instances, places = size
-    others = _Peers(count, instances, places)
+    count, instances, datacentres = size
+    others = _SimulatedNodes(count, instances, datacentres)
     with _Site() as site:
-        site.limits = _LARGE if is_relay else _SMALL
+        site.limits = _LARGE_LIMITS if is_relay else _SMALL_LIMITS
         site.start_platform()
         fleet_module.wait_until(
             lambda: site.answers(
@@ -321,19 +345,19 @@
             30,
             "store",
         )
-        site.fill(others)
-        site.start_gateway(_NAME)
-        others.start(site.find_heartbeats(), is_relay)
+        site.write_objects(others)
+        site.start_gateway(_GATEWAY_NAME)
+        others.start(site.get_heartbeat_address(), is_relay)
         try:
             fleet_module.wait_until(
-                lambda: site.is_ready(_NAME), 60, "gateway ready"
+                lambda: site.is_ready(_GATEWAY_NAME), 60, "gateway ready"
             )
-            pid = site.get_pid(_NAME)
+            pid = site.get_pid(_GATEWAY_NAME)
             start = relay.read_cpu(pid)
-            time.sleep(_WARM_SECONDS)
+            time.sleep(_WARMUP_SECONDS)
             before = relay.read_cpu(pid)
-            time.sleep(_SECONDS)
-            share = (relay.read_cpu(pid) - before) / _SECONDS
+            time.sleep(_MEASURE_SECONDS)
+            share = (relay.read_cpu(pid) - before) / _MEASURE_SECONDS
             memory = relay.read_memory(pid)
         finally:
             others.stop()
@@ -346,7 +370,7 @@
 
 @report.register("nodes")
 def measure_nodes() -> None:
-    """Measure a member of a fleet and one of its relays, size by size."""
+    """Measure a member and a relay of fleets of several sizes."""
     for size in _SIZES:
         _measure(size, is_relay=False)
         _measure(size, is_relay=True)
