--- a/bench/overload.py
+++ b/bench/overload.py
@@ -1,9 +1,9 @@
-"""Routing and admission in virtual time, under load and faults.
+"""Routing and admission under load and faults, in virtual time.
 
-Fifty replicas, four entries, load reports 500 ms late, one straggler,
-one death. Arrivals are an open loop: callers do not slow down because
-answers are late. The baselines route at random, or to the least reported
-load, and admit everything.
+The workload has fifty replicas, four entries, load reports that are
+500 ms late, one straggler and one replica that dies. Arrivals are an open
+loop: callers do not slow down when answers are late. The baselines route
+at random, or to the least reported load, and admit every request.
 """
 
 import collections
@@ -38,39 +38,49 @@
 
 __all__ = ["Outcome", "Scenario", "Simulation", "measure_overload"]
 
-_PROFILE = ids.ProfileName("counter")
+_PROFILE_NAME = ids.ProfileName("counter")
 _SEED = 20261203
-_REPORT_INTERVAL = 0.25
-_DETECTION = 1.0
-_DEMAND_DELAY = 0.3
-_CACHED = 0.7
-_PREFILL = 0.3
-_PREFILL_CACHED = 0.2
+_REPORT_INTERVAL_SECONDS = 0.25
+# From the death of a replica until the entries know of it.
+_DETECTION_SECONDS = 1.0
+# Until a demand that an entry publishes reaches the other entries.
+_DEMAND_DELAY_SECONDS = 0.3
+# Service time and prefill time are multiplied by these on a cache hit.
+_CACHED_SERVICE_FACTOR = 0.7
+_PREFILL_SECONDS = 0.3
+_CACHED_PREFILL_FACTOR = 0.2
+# Prefixes that a replica caches, of those that occur.
 _CACHE_SIZE = 16
-_PREFIXES = 200
-_KINDS = ((3.0, 0.4), (1.0, 0.6))
-_ORGANISATIONS = 10
+_PREFIX_COUNT = 200
+# Weight of a request, and the share of requests that have it.
+_REQUEST_WEIGHTS = ((3.0, 0.4), (1.0, 0.6))
+_ORGANISATION_COUNT = 10
 
 
 class Policy(enum.Enum):
-    """Who decides."""
+    """What chooses the replica of a request."""
 
-    OURS = "ours"
+    ROUTER = "ours"
     RANDOM = "random"
-    LEAST = "least_reported"
+    LEAST_REPORTED = "least_reported"
 
 
 class Scenario(msgspec.Struct, frozen=True, kw_only=True):
-    """One experiment.
+    """Parameters of a simulation run.
 
     Attributes:
         load: Offered load as a multiple of the capacity.
-        greedy: How many times its share the first organisation sends.
-        dead: Replicas that die in the middle.
+        concurrency: Requests that a replica processes at a time.
+        seconds: Length of the measurement, after `warmup` seconds.
+        deadline: Seconds from the arrival of a request.
+        straggler: Factor by which the first replica is slower.
+        dead: Number of replicas that die in the middle.
+        greedy: Factor by which the first organisation sends more than its
+            share.
     """
 
     load: float
-    policy: Policy = Policy.OURS
+    policy: Policy = Policy.ROUTER
     replicas: int = 50
     concurrency: int = 8
     entries: int = 4
@@ -84,24 +94,40 @@
 
 
 class Outcome(msgspec.Struct, kw_only=True):
-    """What came of it."""
+    """Results of a simulation run, from the end of the warm-up on.
+
+    Attributes:
+        goodput: Total weight of the requests answered within the deadline.
+        served: Requests answered within the deadline, by organisation.
+        requested: Requests that arrived, by organisation.
+        latencies: Seconds from arrival to the end of each answer.
+        first_latencies: Seconds from arrival to the first token.
+        hits: Requests that found their prefix in a replica's cache.
+        started: Requests that a replica began to process.
+    """
 
     seconds: float = 0.0
     arrivals: int = 0
     goodput: float = 0.0
     served: dict[str, int] = msgspec.field(default_factory=dict)
-    asked: dict[str, int] = msgspec.field(default_factory=dict)
-    times: list[float] = msgspec.field(default_factory=list)
-    first: list[float] = msgspec.field(default_factory=list)
+    requested: dict[str, int] = msgspec.field(default_factory=dict)
+    latencies: list[float] = msgspec.field(default_factory=list)
+    first_latencies: list[float] = msgspec.field(default_factory=list)
     hits: int = 0
-    answers: int = 0
+    started: int = 0
     retries: int = 0
     refused: int = 0
     failed: int = 0
 
 
 class _Job(msgspec.Struct):
-    """One request on its way."""
+    """A request in progress.
+
+    Attributes:
+        arrived: Virtual time of its arrival, in seconds.
+        entry: Number of the entry that it was sent to.
+        excluded: Replicas that failed it.
+    """
 
     organisation: ids.OrganisationName
     weight: float
@@ -113,12 +139,18 @@
 
 
 class _Replica:
-    """A batching engine: so many at once, the others wait in it."""
+    """A batching engine that queues requests beyond its slots.
 
-    def __init__(self, name: str, slots: int, slowness: float) -> None:
+    Attributes:
+        slowdown: Factor on its service times.
+        reported: Requests in flight, as last reported to the entries.
+        open: Attempts that run or wait in it.
+    """
+
+    def __init__(self, name: str, slots: int, slowdown: float) -> None:
         self.name = name
         self.slots = slots
-        self.slowness = slowness
+        self.slowdown = slowdown
         self.alive = True
         self.running = 0
         self.waiting: collections.deque[typing.Any] = collections.deque()
@@ -128,8 +160,11 @@
         self.reported = 0
         self.open: set[str] = set()
 
-    def touch(self, prefix: int) -> bool:
-        """Return whether a prefix was cached; caches it."""
+    def access_cache(self, prefix: int) -> bool:
+        """Return whether a prefix was cached, and cache it.
+
+        The least recently used prefix is evicted.
+        """
         hit = prefix in self.cache
         self.cache[prefix] = None
         self.cache.move_to_end(prefix)
@@ -139,7 +174,7 @@
 
 
 class _Entry:
-    """The deciding parts of one entry process."""
+    """The routing and admission decisions of one entry process."""
 
     def __init__(self, number: int, scenario: Scenario) -> None:
         name = f"e{number}"
@@ -165,26 +200,26 @@
 
 
 def _store_site(view: views.ObjectsView, scenario: Scenario) -> None:
-    wanted = profile.Profile(
-        name=_PROFILE, model="m", concurrency=scenario.concurrency
+    stored_profile = profile.Profile(
+        name=_PROFILE_NAME, model="m", concurrency=scenario.concurrency
     )
-    _put(view, objects.Kind.PROFILES, _PROFILE, wanted)
+    _store_object(view, objects.Kind.PROFILES, _PROFILE_NAME, stored_profile)
     by_domain: dict[str, list[domain.Replica]] = {}
     for number in range(scenario.replicas):
         name = f"r{number}"
-        place = f"f{number % 5}"
+        domain_name = f"f{number % 5}"
         listed = instances.Instance(
             id=ids.InstanceId(f"i-{name}"),
             kind=instances.InstanceKind.ENGINE,
             address=name,
             datacentre=ids.DatacentreName(f"d{number % 2}"),
-            domain=ids.DomainName(place),
+            domain=ids.DomainName(domain_name),
         )
-        _put(view, objects.Kind.INSTANCES, listed.id, listed)
-        by_domain.setdefault(place, []).append(
+        _store_object(view, objects.Kind.INSTANCES, listed.id, listed)
+        by_domain.setdefault(domain_name, []).append(
             domain.Replica(
                 id=ids.ReplicaId(name),
-                profile=_PROFILE,
+                profile=_PROFILE_NAME,
                 generation=ids.Generation(1),
                 members=(listed.id,),
                 accelerators=4,
@@ -193,18 +228,18 @@
                 phase=domain.ReplicaPhase.SERVING,
             )
         )
-    for place, held in by_domain.items():
-        number = int(place[1:])
-        ledger = domain.Domain(
-            name=ids.DomainName(place),
+    for domain_name, held_replicas in by_domain.items():
+        number = int(domain_name[1:])
+        record = domain.Domain(
+            name=ids.DomainName(domain_name),
             datacentre=ids.DatacentreName(f"d{number % 2}"),
-            replicas=tuple(held),
+            replicas=tuple(held_replicas),
             serial=1,
         )
-        _put(view, objects.Kind.DOMAINS, place, ledger)
+        _store_object(view, objects.Kind.DOMAINS, domain_name, record)
 
 
-def _put(
+def _store_object(
     view: views.ObjectsView,
     kind: objects.Kind,
     name: str,
@@ -216,13 +251,13 @@
 
 
 class Simulation:
-    """One run of a scenario."""
+    """Runs a scenario in virtual time."""
 
     def __init__(self, scenario: Scenario) -> None:
         self._scenario = scenario
-        self._draw = random.Random(scenario.seed)
-        self._queue: list[tuple[float, int, typing.Any, typing.Any]] = []
-        self._order = itertools.count()
+        self._random = random.Random(scenario.seed)
+        self._events: list[tuple[float, int, typing.Any, typing.Any]] = []
+        self._event_numbers = itertools.count()
         self._now = 0.0
         self._tickets = itertools.count(1)
         self._jobs: dict[int, _Job] = {}
@@ -246,188 +281,214 @@
 
     # -- Time
 
-    def _after(
+    def _schedule(
         self,
         seconds: float,
         function: abc.Callable[..., object],
         *arguments: object,
     ) -> None:
-        entry = (self._now + seconds, next(self._order), function, arguments)
-        heapq.heappush(self._queue, entry)
+        event = (
+            self._now + seconds,
+            next(self._event_numbers),
+            function,
+            arguments,
+        )
+        heapq.heappush(self._events, event)
 
     def run(self) -> Outcome:
-        """Run to the end and return what came of it."""
+        """Run to the end and return the results."""
         scenario = self._scenario
         end = scenario.warmup + scenario.seconds
-        self._report()
+        self._sample_loads()
         self._tick()
-        self._after(0.01, self._arrive)
+        self._schedule(0.01, self._arrive)
         middle = scenario.warmup + scenario.seconds / 2
-        self._after(middle, self._kill)
-        while self._queue and self._queue[0][0] <= end:
-            self._now, _, function, arguments = heapq.heappop(self._queue)
+        self._schedule(middle, self._kill_replicas)
+        while self._events and self._events[0][0] <= end:
+            self._now, _, function, arguments = heapq.heappop(self._events)
             function(*arguments)
         self.outcome.seconds = scenario.seconds
         return self.outcome
 
     @property
-    def _counts(self) -> bool:
+    def _is_measuring(self) -> bool:
         return self._now >= self._scenario.warmup
 
     # -- Arrivals
 
-    def _rate(self) -> float:
+    def _get_arrival_rate(self) -> float:
         scenario = self._scenario
         return scenario.load * scenario.replicas * scenario.concurrency
 
     def _arrive(self) -> None:
-        self._after(self._draw.expovariate(self._rate()), self._arrive)
-        shares = [self._scenario.greedy] + [1.0] * (_ORGANISATIONS - 1)
-        owner = self._draw.choices(range(_ORGANISATIONS), shares)[0]
-        weight = self._draw.choices(
-            [kind[0] for kind in _KINDS], [kind[1] for kind in _KINDS]
+        self._schedule(
+            self._random.expovariate(self._get_arrival_rate()), self._arrive
+        )
+        shares = [self._scenario.greedy] + [1.0] * (_ORGANISATION_COUNT - 1)
+        organisation = self._random.choices(
+            range(_ORGANISATION_COUNT), shares
+        )[0]
+        weight = self._random.choices(
+            [pair[0] for pair in _REQUEST_WEIGHTS],
+            [pair[1] for pair in _REQUEST_WEIGHTS],
         )[0]
-        prefix = 1 + int(_PREFIXES * self._draw.random() ** 3)
+        prefix = 1 + int(_PREFIX_COUNT * self._random.random() ** 3)
         job = _Job(
-            ids.OrganisationName(f"o{owner}"),
+            ids.OrganisationName(f"o{organisation}"),
             weight,
             prefix,
             self._now,
-            self._draw.randrange(self._scenario.entries),
+            self._random.randrange(self._scenario.entries),
         )
-        if self._counts:
+        if self._is_measuring:
             self.outcome.arrivals += 1
-            asked = self.outcome.asked
-            asked[job.organisation] = asked.get(job.organisation, 0) + 1
+            requested = self.outcome.requested
+            requested[job.organisation] = (
+                requested.get(job.organisation, 0) + 1
+            )
         self._entries[job.entry].retries.earn()
-        self._send(job)
+        self._send_attempt(job)
 
-    def _send(self, job: _Job) -> None:
+    def _send_attempt(self, job: _Job) -> None:
         job.attempts += 1
-        if self._scenario.policy is Policy.OURS:
-            self._ask(job)
+        if self._scenario.policy is Policy.ROUTER:
+            self._request_route(job)
         else:
-            self._start(job, self._choose_naively(job), "")
+            self._start_attempt(job, self._choose_baseline(job), "")
 
-    def _ask(self, job: _Job) -> None:
+    def _request_route(self, job: _Job) -> None:
         ticket = next(self._tickets)
         self._jobs[ticket] = job
         request = routing.RouteRequested(
             ticket=ticket,
             attempt=ids.AttemptId(f"a{ticket}"),
-            profile=_PROFILE,
+            profile=_PROFILE_NAME,
             excluded=job.excluded,
             organisation=job.organisation,
             weight=job.weight,
             deadline=job.arrived + self._scenario.deadline,
             prefix=job.prefix,
         )
-        self._tell(job.entry, request)
+        self._handle_message(job.entry, request)
 
-    def _tell(self, number: int, message: part.Message) -> None:
+    def _handle_message(self, number: int, message: part.Message) -> None:
         entry = self._entries[number]
         for action in entry.admission.handle(message, self._now):
-            self._perform(number, action)
+            self._perform_action(number, action)
 
-    def _perform(self, number: int, action: part.Action) -> None:
+    def _perform_action(self, number: int, action: part.Action) -> None:
         if isinstance(action, actions.Reply):
             job = self._jobs.pop(action.ticket)
             if isinstance(action.answer, routing.Route):
                 route = action.answer
                 replica = self._replicas[route.subject]
-                self._start(job, replica, route.attempt)
-            elif self._counts:
+                self._start_attempt(job, replica, route.attempt)
+            elif self._is_measuring:
                 self.outcome.refused += 1
         elif isinstance(action, actions.Publish):
-            self._after(_DEMAND_DELAY, self._spread, number, action.payload)
+            self._schedule(
+                _DEMAND_DELAY_SECONDS,
+                self._deliver_demand,
+                number,
+                action.payload,
+            )
 
-    def _spread(self, number: int, payload: wire.Payload) -> None:
+    def _deliver_demand(self, number: int, payload: wire.Payload) -> None:
         origin = self._entries[number].nodes.me.id
         for other, entry in enumerate(self._entries):
             if other != number:
-                told = messages.Delivered(origin, payload)
-                entry.admission.handle(told, self._now)
-
-    def _choose_naively(self, job: _Job) -> _Replica:
-        able = [
-            one
-            for one in self._replicas.values()
-            if one.name not in job.excluded and self._is_believed(one)
+                delivered = messages.Delivered(origin, payload)
+                entry.admission.handle(delivered, self._now)
+
+    def _choose_baseline(self, job: _Job) -> _Replica:
+        candidates = [
+            replica
+            for replica in self._replicas.values()
+            if replica.name not in job.excluded
+            and self._is_believed_alive(replica)
         ]
         if self._scenario.policy is Policy.RANDOM:
-            return self._draw.choice(able)
-        least = min(one.reported for one in able)
-        return self._draw.choice(
-            [one for one in able if one.reported == least]
+            return self._random.choice(candidates)
+        least = min(replica.reported for replica in candidates)
+        return self._random.choice(
+            [replica for replica in candidates if replica.reported == least]
         )
 
-    def _is_believed(self, replica: _Replica) -> bool:
-        return replica.alive or self._now < self._died_at + _DETECTION
+    def _is_believed_alive(self, replica: _Replica) -> bool:
+        return (
+            replica.alive or self._now < self._death_time + _DETECTION_SECONDS
+        )
 
     # -- Replicas
 
-    def _start(self, job: _Job, replica: _Replica, attempt: str) -> None:
+    def _start_attempt(
+        self, job: _Job, replica: _Replica, attempt: str
+    ) -> None:
         attempt = attempt or f"n{next(self._tickets)}"
         if not replica.alive:
-            self._after(0.002, self._fail, job, replica, attempt)
+            self._schedule(0.002, self._fail_attempt, job, replica, attempt)
             return
         self._running[attempt] = (job, replica)
         replica.open.add(attempt)
         if replica.running < replica.slots:
-            self._serve(job, replica, attempt)
+            self._process(job, replica, attempt)
         else:
             replica.waiting.append((job, attempt))
 
-    def _serve(self, job: _Job, replica: _Replica, attempt: str) -> None:
+    def _process(self, job: _Job, replica: _Replica, attempt: str) -> None:
         replica.running += 1
-        hit = replica.touch(job.prefix)
-        if self._counts:
-            self.outcome.answers += 1
+        hit = replica.access_cache(job.prefix)
+        if self._is_measuring:
+            self.outcome.started += 1
             self.outcome.hits += hit
-            prefill = _PREFILL * replica.slowness
-            prefill *= _PREFILL_CACHED if hit else 1.0
-            waited = self._now - job.arrived
-            self.outcome.first.append(waited + prefill)
-        seconds = self._draw.gammavariate(4.0, 0.25) * replica.slowness
+            prefill = _PREFILL_SECONDS * replica.slowdown
+            prefill *= _CACHED_PREFILL_FACTOR if hit else 1.0
+            queued = self._now - job.arrived
+            self.outcome.first_latencies.append(queued + prefill)
+        seconds = self._random.gammavariate(4.0, 0.25) * replica.slowdown
         if hit:
-            seconds *= _CACHED
-        self._after(seconds, self._finish, job, replica, attempt)
+            seconds *= _CACHED_SERVICE_FACTOR
+        self._schedule(seconds, self._finish_attempt, job, replica, attempt)
 
-    def _finish(self, job: _Job, replica: _Replica, attempt: str) -> None:
+    def _finish_attempt(
+        self, job: _Job, replica: _Replica, attempt: str
+    ) -> None:
         if attempt not in replica.open:
             return
         replica.open.discard(attempt)
         del self._running[attempt]
         replica.running -= 1
-        self._note_answer(job)
-        if self._scenario.policy is Policy.OURS:
-            ended = routing.AttemptEnded(ids.AttemptId(attempt))
-            self._tell(job.entry, ended)
+        self._record_answer(job)
+        if self._scenario.policy is Policy.ROUTER:
+            message = routing.AttemptEnded(ids.AttemptId(attempt))
+            self._handle_message(job.entry, message)
         while replica.waiting and replica.running < replica.slots:
-            self._serve(*self._take(replica))
+            self._process(*self._dequeue(replica))
 
     @staticmethod
-    def _take(replica: _Replica) -> tuple[_Job, _Replica, str]:
+    def _dequeue(replica: _Replica) -> tuple[_Job, _Replica, str]:
         job, attempt = replica.waiting.popleft()
         return job, replica, attempt
 
-    def _note_answer(self, job: _Job) -> None:
-        spent = self._now - job.arrived
-        if not self._counts:
+    def _record_answer(self, job: _Job) -> None:
+        latency = self._now - job.arrived
+        if not self._is_measuring:
             return
-        self.outcome.times.append(spent)
-        if spent <= self._scenario.deadline:
+        self.outcome.latencies.append(latency)
+        if latency <= self._scenario.deadline:
             self.outcome.goodput += job.weight
             served = self.outcome.served
             served[job.organisation] = served.get(job.organisation, 0) + 1
 
-    def _fail(self, job: _Job, replica: _Replica, attempt: str) -> None:
+    def _fail_attempt(
+        self, job: _Job, replica: _Replica, attempt: str
+    ) -> None:
         entry = self._entries[job.entry]
-        ours = self._scenario.policy is Policy.OURS
-        if ours:
+        uses_router = self._scenario.policy is Policy.ROUTER
+        if uses_router:
             kind = routing.EndKind.FAILED
-            ended = routing.AttemptEnded(ids.AttemptId(attempt), kind)
-            self._tell(job.entry, ended)
+            message = routing.AttemptEnded(ids.AttemptId(attempt), kind)
+            self._handle_message(job.entry, message)
             failed = evidence.UpstreamFailed(replica.name, 1)
             entry.evidence.handle(failed, self._now)
         failure = retries.AttemptFailure(
@@ -437,45 +498,50 @@
             started=False,
             deadline=job.arrived + self._scenario.deadline,
         )
-        decided = entry.retries.decide(failure, self._now)
-        if decided is not retries.RetryDecision.RETRY:
-            self.outcome.failed += int(self._counts)
+        decision = entry.retries.decide(failure, self._now)
+        if decision is not retries.RetryDecision.RETRY:
+            self.outcome.failed += int(self._is_measuring)
             return
-        self.outcome.retries += int(self._counts)
+        self.outcome.retries += int(self._is_measuring)
         job.excluded = (*job.excluded, replica.name)
-        wait = retries.compute_backoff(job.attempts)
-        self._after(wait, self._send, job)
+        backoff = retries.compute_backoff(job.attempts)
+        self._schedule(backoff, self._send_attempt, job)
 
-    _died_at = 1e9
+    _death_time = 1e9
 
-    def _kill(self) -> None:
-        self._died_at = self._now
+    def _kill_replicas(self) -> None:
+        self._death_time = self._now
         for number in range(1, 1 + self._scenario.dead):
             replica = self._replicas[f"r{number}"]
             replica.alive = False
             for attempt in sorted(replica.open):
                 job, _ = self._running.pop(attempt)
-                self._after(0.001, self._fail, job, replica, attempt)
+                self._schedule(
+                    0.001, self._fail_attempt, job, replica, attempt
+                )
             replica.open.clear()
             replica.waiting.clear()
 
     # -- Reports
 
-    def _report(self) -> None:
-        """Take the loads now; they arrive half a second later."""
+    def _sample_loads(self) -> None:
+        """Sample the loads; the reports arrive half a second later."""
         loads = {
             name: len(replica.open) for name, replica in self._replicas.items()
         }
-        self._after(0.5, self._deliver, loads)
-        self._after(_REPORT_INTERVAL, self._report)
+        self._schedule(0.5, self._deliver_loads, loads)
+        self._schedule(_REPORT_INTERVAL_SECONDS, self._sample_loads)
 
-    def _deliver(self, loads: dict[str, int]) -> None:
+    def _deliver_loads(self, loads: dict[str, int]) -> None:
         for name, running in loads.items():
             replica = self._replicas[name]
             replica.reported = running
             verdicts = wire.Verdict
-            known = replica.alive or self._now < self._died_at + _DETECTION
-            told = messages.Delivered(
+            known = (
+                replica.alive
+                or self._now < self._death_time + _DETECTION_SECONDS
+            )
+            delivered = messages.Delivered(
                 ids.NodeId("observer"),
                 wire.Evidence(
                     subject=name,
@@ -487,86 +553,96 @@
                 ),
             )
             for entry in self._entries:
-                entry.evidence.handle(told, self._now)
+                entry.evidence.handle(delivered, self._now)
 
     def _tick(self) -> None:
         for number in range(len(self._entries)):
             if self._now >= self._entries[number].admission.due():
-                self._tell(number, part.Tick())
-        self._after(0.05, self._tick)
+                self._handle_message(number, part.Tick())
+        self._schedule(0.05, self._tick)
 
 
 def run(scenario: Scenario) -> Outcome:
-    """Return what comes of a scenario."""
+    """Return the results of a scenario."""
     return Simulation(scenario).run()
 
 
 @report.register("overload")
 def measure_overload() -> None:
-    """Measure load, fairness and an outage against the baselines."""
+    """Measure overload, fairness and an outage against the baselines."""
     name = "overload"
-    found: dict[tuple[float, Policy], Outcome] = {}
+    outcomes: dict[tuple[float, Policy], Outcome] = {}
     for offered in (0.5, 0.9, 1.0, 1.2, 2.0):
         for policy in Policy:
             outcome = run(Scenario(load=offered, policy=policy))
-            found[offered, policy] = outcome
-            _emit(f"{name}.{offered:g}.{policy.value}", outcome)
-    ours = {key[0]: one for key, one in found.items() if key[1] is Policy.OURS}
-    ratio = ours[2.0].goodput / ours[1.0].goodput
+            outcomes[offered, policy] = outcome
+            _emit_outcome(f"{name}.{offered:g}.{policy.value}", outcome)
+    routed = {
+        key[0]: outcome
+        for key, outcome in outcomes.items()
+        if key[1] is Policy.ROUTER
+    }
+    ratio = routed[2.0].goodput / routed[1.0].goodput
     report.emit(name, "goodput_2_to_1", ratio, "1")
-    base = found[0.9, Policy.RANDOM]
-    _compare(name, "p99_at_0.9", ours[0.9].times, base.times)
-    _compare(name, "first_p99_at_0.9", ours[0.9].first, base.first)
-    _measure_greedy(name)
+    baseline = outcomes[0.9, Policy.RANDOM]
+    _emit_p99(name, "p99_at_0.9", routed[0.9].latencies, baseline.latencies)
+    _emit_p99(
+        name,
+        "first_p99_at_0.9",
+        routed[0.9].first_latencies,
+        baseline.first_latencies,
+    )
+    _measure_fairness(name)
     _measure_outage(name)
 
 
-def _compare(
-    name: str, metric: str, ours: list[float], base: list[float]
+def _emit_p99(
+    name: str, metric: str, latencies: list[float], baseline: list[float]
 ) -> None:
-    slow = load_module.percentile(ours, 0.99)
-    usual = load_module.percentile(base, 0.99)
-    report.emit(name, metric, slow, "s", usual)
-    report.emit(name, f"{metric}_ratio", slow / usual, "1")
+    p99 = load_module.percentile(latencies, 0.99)
+    baseline_p99 = load_module.percentile(baseline, 0.99)
+    report.emit(name, metric, p99, "s", baseline_p99)
+    report.emit(name, f"{metric}_ratio", p99 / baseline_p99, "1")
 
 
-def _emit(name: str, outcome: Outcome) -> None:
+def _emit_outcome(name: str, outcome: Outcome) -> None:
     rate = outcome.goodput / outcome.seconds
     report.emit(name, "goodput", rate, "weight/s")
-    for share in (0.5, 0.95, 0.99):
-        value = load_module.percentile(outcome.times, share)
-        report.emit(name, f"p{share * 100:g}", value, "s")
-        value = load_module.percentile(outcome.first, share)
-        report.emit(name, f"first_p{share * 100:g}", value, "s")
-    parts = [
-        outcome.served.get(owner, 0) / count
-        for owner, count in outcome.asked.items()
+    for fraction in (0.5, 0.95, 0.99):
+        value = load_module.percentile(outcome.latencies, fraction)
+        report.emit(name, f"p{fraction * 100:g}", value, "s")
+        value = load_module.percentile(outcome.first_latencies, fraction)
+        report.emit(name, f"first_p{fraction * 100:g}", value, "s")
+    served_shares = [
+        outcome.served.get(organisation, 0) / count
+        for organisation, count in outcome.requested.items()
     ]
-    report.emit(name, "jain", fairness.measure_jain(parts), "1")
-    hits = outcome.hits / max(1, outcome.answers)
+    report.emit(name, "jain", fairness.measure_jain(served_shares), "1")
+    hits = outcome.hits / max(1, outcome.started)
     report.emit(name, "cache_hits", hits, "1")
 
 
-def _measure_greedy(name: str) -> None:
-    """One organisation sends ten times its share; the others theirs.
+def _measure_fairness(name: str) -> None:
+    """Measure fairness while one organisation sends ten times its share.
 
-    At twice the capacity in all, a well-behaved one asks for less than a
-    tenth of the capacity and must get nearly all it asks for.
+    The others send their share. The total load is 1.71 times the capacity,
+    but each of the others requests less than a tenth of the capacity and
+    must be served nearly all of it.
     """
     greedy = 10.0
-    total = greedy + _ORGANISATIONS - 1
-    offered = total / _ORGANISATIONS * 0.9
+    total = greedy + _ORGANISATION_COUNT - 1
+    offered = total / _ORGANISATION_COUNT * 0.9
     outcome = run(Scenario(load=offered, greedy=greedy, dead=0))
-    kept = [
-        outcome.served.get(owner, 0) / asked
-        for owner, asked in outcome.asked.items()
-        if owner != "o0"
+    served_shares = [
+        outcome.served.get(organisation, 0) / count
+        for organisation, count in outcome.requested.items()
+        if organisation != "o0"
     ]
-    report.emit(name, "well_behaved_least_share", min(kept), "1")
+    report.emit(name, "well_behaved_least_share", min(served_shares), "1")
 
 
 def _measure_outage(name: str) -> None:
-    """Half of all replicas die at once."""
+    """Measure retries when half of all replicas die at once."""
     outcome = run(Scenario(load=0.9, dead=25))
     share = outcome.retries / outcome.arrivals
     report.emit(name, "retries_in_outage", share, "1")
