--- a/bench/replicas.py
+++ b/bench/replicas.py
@@ -1,7 +1,8 @@
-"""Group downtime and stranded accelerators, against the baseline.
+"""Replica downtime and stranded accelerators, against a baseline.
 
-The baseline rebuilds at once, from anywhere allowed. Both run on the
-same trace, through the same nodes, platform and engines.
+The baseline policy rebuilds a replica at once from any instances that the
+rules allow. Both policies replay the same trace with the same nodes,
+platform and engines.
 """
 
 import concurrent.futures
@@ -18,14 +19,14 @@
 _SEED = 20261203
 _POLICIES = ("weighted", "dissolve")
 
-# Deaths and restarts stand in about the proportion that the users expect
-# of their fleet (19 to 370 a day), many times as often. Short pauses are
-# the commonest fault of small machines.
-_RATES = traces.Rates(
-    pauses=80, restarts=4, deaths=2, darks=1, stops=1, outages=1
+# Deaths and restarts are in about the proportion that the users expect of
+# their fleets (19 to 370 a day), but far more frequent. Short pauses are
+# the most common fault of small machines.
+_FAULT_COUNTS = traces.FaultCounts(
+    pauses=80, restarts=4, deaths=2, domain_pauses=1, stops=1, outages=1
 )
 
-_QUIET = """
+_SITE_SETTINGS = """
 [replicas]
 observe_interval = 2
 observe_timeout = 1
@@ -40,10 +41,10 @@
 pause_time = 15
 """
 
-# Fifty servers each. Northgate uses every one; Fischmehlwerk keeps two
-# spares in each domain. An engine holds the part of the model that its
-# rank asks for; a new generation takes `start_time` to start, and a load
-# takes `load_time` at one of the weight store's slots.
+# Both users' sites have fifty engines. Northgate uses all of them;
+# Fischmehlwerk keeps two spare engines in each domain. An engine holds the
+# shard of the model for its rank. A new generation takes `start_time` to
+# start, and a load takes `load_time` in one of the weight store's slots.
 NORTHGATE = traces.SiteSpec(
     name="northgate",
     domains=(
@@ -62,12 +63,12 @@
 downtime_weight = 1
 stranded_weight = 0.5
 """,
-    rates=_RATES,
+    fault_counts=_FAULT_COUNTS,
     slots=4,
     load_time=110.0,
     start_time=30.0,
     hours=4.0,
-    extra=_QUIET,
+    extra=_SITE_SETTINGS,
 )
 
 FISCHMEHLWERK = traces.SiteSpec(
@@ -88,12 +89,12 @@
 downtime_weight = 20
 stranded_weight = 0.02
 """,
-    rates=_RATES,
+    fault_counts=_FAULT_COUNTS,
     slots=4,
     load_time=110.0,
     start_time=30.0,
     hours=4.0,
-    extra=_QUIET,
+    extra=_SITE_SETTINGS,
 )
 
 LARGE = traces.SiteSpec(
@@ -116,14 +117,14 @@
 downtime_weight = 5
 stranded_weight = 0.1
 """,
-    rates=traces.Rates(
-        pauses=20, restarts=8, deaths=3, darks=1, stops=2, outages=1
+    fault_counts=traces.FaultCounts(
+        pauses=20, restarts=8, deaths=3, domain_pauses=1, stops=2, outages=1
     ),
     slots=256,
     load_time=110.0,
     start_time=30.0,
     hours=0.75,
-    extra=(_QUIET + "move_time = 150\n")
+    extra=(_SITE_SETTINGS + "move_time = 150\n")
     .replace("= 2\n", "= 10\n", 1)
     .replace("observe_timeout = 1", "observe_timeout = 5")
     .replace("evidence_ttl = 5", "evidence_ttl = 25")
@@ -132,61 +133,71 @@
 
 
 class _Run(msgspec.Struct):
+    """Result of a replay; `processor` is its processor time in seconds."""
+
     measures: traces.Measures
     processor: float
 
 
-def run_one(spec: traces.SiteSpec, policy: str, seed: int) -> bytes:
-    """Return the encoded result of one replay; runs in a process."""
+def run_replay(spec: traces.SiteSpec, policy: str, seed: int) -> bytes:
+    """Return the encoded result of a replay; runs in a worker process."""
     started = time.process_time()
     replay = traces.Replay(spec, policy)
     measures = replay.run(traces.draw_trace(spec, seed))
-    spent = time.process_time() - started
-    return msgspec.json.encode(_Run(measures, spent))
+    processor = time.process_time() - started
+    return msgspec.json.encode(_Run(measures, processor))
 
 
 def measure_site(spec: traces.SiteSpec, seed: int = _SEED) -> dict[str, _Run]:
-    """Return the replays of one site under both policies."""
+    """Replay one site under each policy; return the results by policy."""
     with concurrent.futures.ProcessPoolExecutor(len(_POLICIES)) as pool:
-        waiting = {
-            policy: pool.submit(run_one, spec, policy, seed)
+        futures = {
+            policy: pool.submit(run_replay, spec, policy, seed)
             for policy in _POLICIES
         }
         return {
             policy: msgspec.json.decode(future.result(), type=_Run)
-            for policy, future in waiting.items()
+            for policy, future in futures.items()
         }
 
 
 @report.register("replicas")
 def measure_replicas() -> None:
-    """Measure both users' traces and the large site."""
+    """Measure the sites of both users and the large site."""
     for spec in (NORTHGATE, FISCHMEHLWERK, LARGE):
         _emit_site(spec, measure_site(spec))
 
 
 def _emit_site(spec: traces.SiteSpec, runs: dict[str, _Run]) -> None:
-    wanted = sites.parse(spec.profile)
-    ours, naive = (runs[policy].measures for policy in _POLICIES)
+    profile = sites.parse(spec.profile)
+    weighted, dissolve = (runs[policy].measures for policy in _POLICIES)
     name = f"replicas.{spec.name}"
     rows = (
-        ("down_share", ours.down / ours.asked, naive.down / naive.asked),
+        (
+            "down_share",
+            weighted.down / weighted.asked,
+            dissolve.down / dissolve.asked,
+        ),
         (
             "stranded_share",
-            ours.stranded / ours.paid,
-            naive.stranded / naive.paid,
+            weighted.stranded / weighted.paid,
+            dissolve.stranded / dissolve.paid,
+        ),
+        (
+            "cost",
+            weighted.compute_cost(profile),
+            dissolve.compute_cost(profile),
         ),
-        ("cost", ours.weigh(wanted), naive.weigh(wanted)),
-        ("loads", ours.loads, naive.loads),
+        ("loads", weighted.loads, dissolve.loads),
     )
     for metric, value, baseline in rows:
         report.emit(name, metric, value, "1", baseline)
-    ratio = ours.weigh(wanted) / naive.weigh(wanted)
+    ratio = weighted.compute_cost(profile) / dissolve.compute_cost(profile)
     report.emit(name, "cost_ratio", ratio, "1")
-    report.emit(name, "most_held", ours.most_held, "accelerators")
-    report.emit(name, "capacity", wanted.capacity, "accelerators")
-    for kind, count in sorted(ours.calls.items()):
-        rate = count / ours.seconds
+    report.emit(name, "most_held", weighted.most_held, "accelerators")
+    report.emit(name, "capacity", profile.capacity, "accelerators")
+    for kind, count in sorted(weighted.calls.items()):
+        rate = count / weighted.seconds
         report.emit(name, f"calls.{kind}", rate, "1/s")
-    per_event = runs["weighted"].processor / max(1, ours.events)
-    report.emit(name, "processor_per_fault", per_event, "s")
+    seconds_per_fault = runs["weighted"].processor / max(1, weighted.events)
+    report.emit(name, "processor_per_fault", seconds_per_fault, "s")
--- a/bench/traces.py
+++ b/bench/traces.py
@@ -1,9 +1,9 @@
-"""Recorded failure traces, one for each user, and their replay.
+"""Seeded fault traces of sites and their replay in virtual time.
 
-A trace is a list of faults drawn once from a seed. It is replayed in
-virtual time against the real policy and against the baseline, with the
-same faults at the same times, and the two measures of the brief are
-taken from the engines themselves, not from what the nodes believe.
+A trace is a list of faults that is drawn from a seed. It is replayed
+against the real policy and against the baseline, with the same faults at
+the same times. Downtime and stranded accelerators are measured at the
+engines themselves, not in the state that the nodes believe in.
 """
 
 import enum
@@ -26,29 +26,45 @@
     "FaultKind",
     "Measures",
     "Replay",
-    "Rates",
+    "FaultCounts",
     "SiteSpec",
     "draw_trace",
 ]
 
-_SAMPLE = 1.0
-_START_STEP = 5.0
-_START_LIMIT = 3600.0
+_SAMPLE_SECONDS = 1.0
+# Until all replicas serve, the site runs in steps, up to a limit.
+_START_STEP_SECONDS = 5.0
+_START_LIMIT_SECONDS = 3600.0
 
 
 class FaultKind(enum.Enum):
-    """What goes wrong."""
+    """Kinds of faults.
+
+    Attributes:
+        PAUSE: An engine stops responding for a while.
+        RESTART: An engine ends and starts again.
+        DEATH: As a restart, but the platform unlists the engine meanwhile.
+        DOMAIN_PAUSE: All engines of a domain stop responding for a while.
+        STOP: An engine is drained, ends, and starts again.
+        OUTAGE: The platform is unreachable.
+    """
 
     PAUSE = "pause"
     RESTART = "restart"
     DEATH = "death"
-    DARK = "dark"
+    DOMAIN_PAUSE = "dark"
     STOP = "stop"
     OUTAGE = "outage"
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """One fault: what, when, to whom and for how long."""
+    """A fault of a trace.
+
+    Attributes:
+        at: Seconds from the start of the trace.
+        target: Name of the engine, of the domain, or ``platform``.
+        seconds: Duration.
+    """
 
     kind: FaultKind
     at: float
@@ -56,29 +72,34 @@
     seconds: float
 
 
-class Rates(msgspec.Struct, frozen=True, kw_only=True):
-    """How many faults of each kind a trace has."""
+class FaultCounts(msgspec.Struct, frozen=True, kw_only=True):
+    """Number of faults of each kind in a trace."""
 
     pauses: int
     restarts: int
     deaths: int
-    darks: int
+    domain_pauses: int
     stops: int
     outages: int
 
 
 class SiteSpec(msgspec.Struct, frozen=True, kw_only=True):
-    """A user's site.
+    """A simulated site and the shape of its trace.
 
     Attributes:
+        profile: INI text of its profile.
+        fault_counts: Faults that the trace has.
         slots: Instances that can load from the weight store at a time.
+        load_time: Seconds of a load from the weight store.
+        start_time: Seconds that a new replica generation needs to start.
         hours: Length of the trace.
+        extra: INI text appended to the settings of its nodes.
     """
 
     name: str
     domains: tuple[sites.DomainSpec, ...]
     profile: str
-    rates: Rates
+    fault_counts: FaultCounts
     slots: int
     load_time: float
     start_time: float
@@ -87,11 +108,18 @@
 
 
 class Measures(msgspec.Struct, kw_only=True):
-    """What a replay gave.
+    """Measurements of a replay.
 
     Attributes:
-        down: Replica-seconds without service, of those asked for.
-        stranded: Accelerator-seconds paid for outside serving replicas.
+        seconds: Length of the measurement.
+        down: Replica-seconds without service, of `asked`.
+        stranded: Accelerator-seconds outside serving replicas, of `paid`.
+        asked: Replica-seconds that the profile requests.
+        paid: Accelerator-seconds of all listed engines.
+        most_held: Most accelerators held by the profile at a time.
+        loads: Loads from the weight store.
+        calls: Calls to the platform, by kind.
+        events: Faults of the trace.
     """
 
     seconds: float = 0.0
@@ -104,19 +132,20 @@
     calls: dict[str, int] = msgspec.field(default_factory=dict)
     events: int = 0
 
-    def weigh(self, wanted: profile.Profile) -> float:
-        """Return the weighted cost."""
+    def compute_cost(self, weights: profile.Profile) -> float:
+        """Return the cost by the weights of a profile."""
         return (
-            self.down * wanted.downtime_weight
-            + self.stranded * wanted.stranded_weight
+            self.down * weights.downtime_weight
+            + self.stranded * weights.stranded_weight
         )
 
 
+# Shortest and longest duration of each kind of fault, in seconds.
 _DURATIONS = {
     FaultKind.PAUSE: (4.0, 30.0),
     FaultKind.RESTART: (30.0, 90.0),
     FaultKind.DEATH: (300.0, 600.0),
-    FaultKind.DARK: (120.0, 600.0),
+    FaultKind.DOMAIN_PAUSE: (120.0, 600.0),
     FaultKind.STOP: (300.0, 600.0),
     FaultKind.OUTAGE: (120.0, 300.0),
 }
@@ -124,38 +153,44 @@
 
 def draw_trace(spec: SiteSpec, seed: int) -> list[Fault]:
     """Return the faults of a trace, in order of time."""
-    draw = random.Random(seed)
-    names = [
-        f"{one.name}-{number}"
-        for one in spec.domains
-        for number in range(1, one.engines + 1)
+    generator = random.Random(seed)
+    engine_names = [
+        f"{domain_spec.name}-{number}"
+        for domain_spec in spec.domains
+        for number in range(1, domain_spec.engines + 1)
     ]
-    places = [one.name for one in spec.domains]
+    domain_names = [domain_spec.name for domain_spec in spec.domains]
     counts = (
-        (FaultKind.PAUSE, spec.rates.pauses, names),
-        (FaultKind.RESTART, spec.rates.restarts, names),
-        (FaultKind.DEATH, spec.rates.deaths, names),
-        (FaultKind.DARK, spec.rates.darks, places),
-        (FaultKind.STOP, spec.rates.stops, names),
-        (FaultKind.OUTAGE, spec.rates.outages, ["platform"]),
+        (FaultKind.PAUSE, spec.fault_counts.pauses, engine_names),
+        (FaultKind.RESTART, spec.fault_counts.restarts, engine_names),
+        (FaultKind.DEATH, spec.fault_counts.deaths, engine_names),
+        (
+            FaultKind.DOMAIN_PAUSE,
+            spec.fault_counts.domain_pauses,
+            domain_names,
+        ),
+        (FaultKind.STOP, spec.fault_counts.stops, engine_names),
+        (FaultKind.OUTAGE, spec.fault_counts.outages, ["platform"]),
     )
     end = spec.hours * 3600.0
-    found = []
+    faults = []
     for kind, count, targets in counts:
         low, high = _DURATIONS[kind]
         for _ in range(count):
-            at = draw.uniform(300.0, end - high)
-            target = draw.choice(targets)
-            found.append(Fault(kind, at, target, draw.uniform(low, high)))
-    return sorted(found, key=lambda fault: fault.at)
+            at = generator.uniform(300.0, end - high)
+            target = generator.choice(targets)
+            faults.append(
+                Fault(kind, at, target, generator.uniform(low, high))
+            )
+    return sorted(faults, key=lambda fault: fault.at)
 
 
 class Replay:
-    """One run of a trace."""
+    """Replays a trace on a simulated site."""
 
     def __init__(self, spec: SiteSpec, policy: str) -> None:
         self._spec = spec
-        self._wanted = sites.parse(spec.profile)
+        self._profile = sites.parse(spec.profile)
         store = enginemodel.WeightStore(spec.slots, spec.load_time)
         self._store = store
         self.world = sites.make_site(
@@ -169,17 +204,20 @@
         self.measures = Measures()
 
     def run(self, trace: list[Fault]) -> Measures:
-        """Return the measures of a trace, from when all serve."""
+        """Return the measures of a trace.
+
+        It starts once all replicas serve.
+        """
         world = self.world
         world.run(10.0)
-        sites.store_profile(world, self._wanted)
-        while not self._all_serve() and world.now < _START_LIMIT:
-            world.run(world.now + _START_STEP)
+        sites.store_profile(world, self._profile)
+        while not self._are_all_serving() and world.now < _START_LIMIT_SECONDS:
+            world.run(world.now + _START_STEP_SECONDS)
         start = world.now
         for fault in trace:
-            world.at(start + fault.at, self._begin, fault)
+            world.at(start + fault.at, self._begin_fault, fault)
         end = start + self._spec.hours * 3600.0
-        world.after(_SAMPLE, self._sample, end)
+        world.after(_SAMPLE_SECONDS, self._sample, end)
         world.platform.calls.clear()
         world.run(end)
         self.measures.seconds = end - start
@@ -190,101 +228,105 @@
 
     # -- Measures
 
-    def _all_serve(self) -> bool:
-        return len(self._list_serving()) >= self._wanted.replicas
+    def _are_all_serving(self) -> bool:
+        return len(self._list_serving()) >= self._profile.replicas
 
     def _read_domains(self) -> list[domain.Domain]:
         store = self.world.platform.store
         kinds = {objects.Kind.DOMAINS.value}
-        return [objects.decode(one) for one in store.select(kinds)]
+        return [objects.decode(stored) for stored in store.select(kinds)]
 
     def _list_serving(self) -> list[domain.Replica]:
-        """Return the replicas that really serve now."""
+        """Return the replicas whose engines all serve now."""
         return [
             replica
-            for held in self._read_domains()
-            for replica in held.replicas
+            for record in self._read_domains()
+            for replica in record.replicas
             if replica.phase is domain.ReplicaPhase.SERVING
-            and all(self._serves(name, replica) for name in replica.members)
+            and all(
+                self._is_serving(name, replica) for name in replica.members
+            )
         ]
 
-    def _serves(self, name: ids.InstanceId, replica: domain.Replica) -> bool:
+    def _is_serving(
+        self, name: ids.InstanceId, replica: domain.Replica
+    ) -> bool:
         engine = self.world.engines[name]
         if not engine.alive or engine.paused:
             return False
-        report = engine.model.report(self.world.now)
+        engine_report = engine.model.report(self.world.now)
         return (
-            report.replica == replica.id
-            and report.generation == replica.generation
-            and report.state is instances.ReportedState.READY
+            engine_report.replica == replica.id
+            and engine_report.generation == replica.generation
+            and engine_report.state is instances.ReportedState.READY
         )
 
     def _sample(self, end: float) -> None:
         serving = self._list_serving()
         measures = self.measures
-        missing = max(0, self._wanted.replicas - len(serving))
-        measures.down += missing * _SAMPLE
-        measures.asked += self._wanted.replicas * _SAMPLE
+        missing = max(0, self._profile.replicas - len(serving))
+        measures.down += missing * _SAMPLE_SECONDS
+        measures.asked += self._profile.replicas * _SAMPLE_SECONDS
         paid = sum(
             self.world.engines[name].listed.accelerators
             for name in self.world.listed
             if name in self.world.engines
         )
         used = sum(replica.accelerators for replica in serving)
-        measures.paid += paid * _SAMPLE
-        measures.stranded += max(0, paid - used) * _SAMPLE
-        held = sum(
-            one.count_accelerators(self._wanted.name)
-            for one in self._read_domains()
+        measures.paid += paid * _SAMPLE_SECONDS
+        measures.stranded += max(0, paid - used) * _SAMPLE_SECONDS
+        held_accelerators = sum(
+            record.count_accelerators(self._profile.name)
+            for record in self._read_domains()
         )
-        measures.most_held = max(measures.most_held, held)
-        if self.world.now + _SAMPLE < end:
-            self.world.after(_SAMPLE, self._sample, end)
+        measures.most_held = max(measures.most_held, held_accelerators)
+        if self.world.now + _SAMPLE_SECONDS < end:
+            self.world.after(_SAMPLE_SECONDS, self._sample, end)
 
     # -- Faults
 
-    def _begin(self, fault: Fault) -> None:
+    def _begin_fault(self, fault: Fault) -> None:
         world = self.world
         if fault.kind is FaultKind.OUTAGE:
             world.platform.down = True
             world.after(fault.seconds, self._end_outage)
-        elif fault.kind is FaultKind.DARK:
+        elif fault.kind is FaultKind.DOMAIN_PAUSE:
             for name, engine in world.engines.items():
                 if engine.listed.domain == fault.target:
-                    self._pause(name, fault.seconds)
+                    self._pause_engine(name, fault.seconds)
         elif fault.kind is FaultKind.STOP:
             self._plan_stop(fault)
         else:
-            self._begin_one(fault)
+            self._begin_engine_fault(fault)
 
-    def _begin_one(self, fault: Fault) -> None:
+    def _begin_engine_fault(self, fault: Fault) -> None:
         name = ids.InstanceId(fault.target)
         engine = self.world.engines[name]
         if not engine.alive:
             return
         if fault.kind is FaultKind.PAUSE:
-            self._pause(name, fault.seconds)
+            self._pause_engine(name, fault.seconds)
             return
         engine.alive = False
-        self.world.after(fault.seconds, self._come_back, engine)
+        self.world.after(fault.seconds, self._restart_engine, engine)
         if fault.kind is FaultKind.DEATH:
-            self.world.after(30.0, self._unlist, engine)
+            self.world.after(30.0, self._unlist_engine, engine)
 
-    def _pause(self, name: ids.InstanceId, seconds: float) -> None:
+    def _pause_engine(self, name: ids.InstanceId, seconds: float) -> None:
         engine = self.world.engines[name]
         if engine.alive and not engine.paused:
             engine.paused = True
-            self.world.after(seconds, self._resume, engine)
+            self.world.after(seconds, self._resume_engine, engine)
 
     @staticmethod
-    def _resume(engine: virtual.Engine) -> None:
+    def _resume_engine(engine: virtual.Engine) -> None:
         engine.paused = False
 
-    def _unlist(self, engine: virtual.Engine) -> None:
+    def _unlist_engine(self, engine: virtual.Engine) -> None:
         if not engine.alive:
             self.world.unlist_instance(engine.listed.id)
 
-    def _come_back(self, engine: virtual.Engine) -> None:
+    def _restart_engine(self, engine: virtual.Engine) -> None:
         engine.restart()
         self.world.list_instance(engine.listed)
 
@@ -292,7 +334,10 @@
         self.world.platform.down = False
 
     def _plan_stop(self, fault: Fault) -> None:
-        """Plan a stop; the instance goes once it is drained."""
+        """Plan a stop; the instance ends once it is drained.
+
+        An outage of the platform puts the stop off by a minute.
+        """
         if self.world.platform.down:
             self.world.after(60.0, self._plan_stop, fault)
             return
@@ -302,28 +347,28 @@
             target=fault.target,
         )
         self._write_stop(stop.id, objects.encode(stop))
-        self.world.after(_SAMPLE, self._watch_stop, fault, stop.id)
+        self.world.after(_SAMPLE_SECONDS, self._watch_stop, fault, stop.id)
 
     def _write_stop(self, name: str, value: bytes) -> None:
         key = objects.ObjectKey(objects.Kind.STOPS.value, name)
         store = self.world.platform.store
-        held = store.get(key)
-        store.write(key, value, held.version if held else 0)
+        stored = store.get(key)
+        store.write(key, value, stored.version if stored else 0)
         self.world.platform.wake()
 
     def _watch_stop(self, fault: Fault, name: str) -> None:
         target = ids.InstanceId(fault.target)
         engine = self.world.engines[target]
         owned = any(
-            held.find_owner(target) is not None
-            for held in self._read_domains()
+            record.find_owner(target) is not None
+            for record in self._read_domains()
         )
         if owned and engine.alive:
-            self.world.after(_SAMPLE, self._watch_stop, fault, name)
+            self.world.after(_SAMPLE_SECONDS, self._watch_stop, fault, name)
             return
         engine.alive = False
         self.world.after(fault.seconds, self._end_stop, engine, name)
 
     def _end_stop(self, engine: virtual.Engine, name: str) -> None:
-        self._come_back(engine)
+        self._restart_engine(engine)
         self._write_stop(name, b"")
