--- a/bench/load.py
+++ b/bench/load.py
@@ -1,7 +1,8 @@
-"""A caller that keeps many requests going over plain sockets.
+"""Closed-loop load generator over plain sockets.
 
-Run as a process of its own: ``python -m bench.load``; prints one JSON
-object. Times are in seconds.
+Each connection sends its next request as soon as the answer to the last
+one has ended. ``python -m bench.load`` reads a `LoadPlan` as JSON from
+standard input and prints a `LoadResult`. Times are in seconds.
 """
 
 import selectors
@@ -13,19 +14,23 @@
 
 __all__ = ["LoadPlan", "LoadResult", "main", "percentile"]
 
-_RECEIVE = 65_536
-_TOKEN = b"data: {"
-_END = b"0\r\n\r\n"
+_RECEIVE_BYTES = 65_536
+# Start of each event of a stream that carries a token.
+_TOKEN_PREFIX = b"data: {"
+# Last chunk of a chunked body.
+_LAST_CHUNK = b"0\r\n\r\n"
 
 
 class LoadPlan(msgspec.Struct, kw_only=True):
-    """What to send.
+    """The load to generate.
 
     Attributes:
-        connections: Requests kept going at the same time.
-        tokens: Tokens asked for of each stream; 0 asks for a whole answer.
-        seconds: How long to go on.
-        warmup: Seconds at the start that are not counted.
+        addresses: Servers; the connections are spread over them in turn.
+        connections: Connections, with one request at a time on each.
+        tokens: Tokens requested in each stream; 0 requests an answer that is
+            not streamed.
+        seconds: Length of the measurement, after the warm-up.
+        warmup: Seconds at the start that are not measured.
     """
 
     addresses: list[str]
@@ -37,7 +42,17 @@
 
 
 class LoadResult(msgspec.Struct, kw_only=True):
-    """What came back."""
+    """Results of a run, without its warm-up.
+
+    Attributes:
+        seconds: Length of the measurement.
+        requests: Answers that ended.
+        chunks: Tokens received.
+        failures: Answers that failed or were cut.
+        first: Seconds from a request to its first token, or to the end of
+            an answer that is not streamed.
+        gaps: Seconds between two reads of a stream that had tokens.
+    """
 
     seconds: float
     requests: int
@@ -47,134 +62,149 @@
     gaps: list[float]
 
 
-def percentile(values: list[float], share: float) -> float:
-    """Return the value below which a share of the values lies."""
+def percentile(values: list[float], fraction: float) -> float:
+    """Return a percentile of some values; 0 if there are none.
+
+    Args:
+        values: The values, in any order.
+        fraction: The percentile as a fraction of 1.
+    """
     if not values:
         return 0.0
     ranked = sorted(values)
-    return ranked[min(len(ranked) - 1, int(share * len(ranked)))]
+    return ranked[min(len(ranked) - 1, int(fraction * len(ranked)))]
 
 
-class _Stream:
-    """One connection and the request on it."""
+class _Connection:
+    """A connection and the request in progress on it.
+
+    Attributes:
+        sent_at: Time at which the request was sent.
+        last_token_at: Time of the last read that had tokens.
+        received: Bytes of the answer; the last 16 only of a stream.
+        has_token: Whether the stream had a token.
+    """
 
     def __init__(self, address: str) -> None:
         host, _, port = address.rpartition(":")
         self.address = (host, int(port))
         self.sock: socket.socket | None = None
-        self.sent = 0.0
-        self.last = 0.0
-        self.tail = b""
-        self.answered = False
+        self.sent_at = 0.0
+        self.last_token_at = 0.0
+        self.received = b""
+        self.has_token = False
 
 
-class Load:
-    """Keeps the connections of a plan busy."""
+class LoadGenerator:
+    """Generates the load of a plan."""
 
     def __init__(self, plan: LoadPlan) -> None:
         self._plan = plan
         self._selector = selectors.DefaultSelector()
         self._request = _make_request(plan)
-        self._counting = False
+        self._is_measuring = False
         self.result = LoadResult(
             seconds=0.0, requests=0, chunks=0, failures=0, first=[], gaps=[]
         )
 
     def run(self) -> LoadResult:
-        """Send until the time is over."""
+        """Send requests until the time of the plan is over."""
         started = time.monotonic()
-        counted = started + self._plan.warmup
-        begun = 0
-        while (now := time.monotonic()) < counted + self._plan.seconds:
-            begun = self._begin_more(begun, now - started)
-            self._counting = now >= counted
+        measured_from = started + self._plan.warmup
+        opened = 0
+        while (now := time.monotonic()) < measured_from + self._plan.seconds:
+            opened = self._open_connections(opened, now - started)
+            self._is_measuring = now >= measured_from
             for key, _ in self._selector.select(0.005):
-                self._read(key.data)
-        self.result.seconds = time.monotonic() - counted
+                self._receive(key.data)
+        self.result.seconds = time.monotonic() - measured_from
         return self.result
 
-    def _begin_more(self, begun: int, elapsed: float) -> int:
-        """Begin connections evenly over the warm-up; return how many.
+    def _open_connections(self, opened: int, elapsed: float) -> int:
+        """Open connections evenly over the warm-up; return how many are open.
 
-        All at once they would also end and begin again all at once.
+        If all were opened at once, their requests would go on to start and
+        end at the same times.
         """
         plan = self._plan
-        wanted = int(plan.connections * elapsed / plan.warmup) + 1
-        for number in range(begun, min(wanted, plan.connections)):
+        target = int(plan.connections * elapsed / plan.warmup) + 1
+        for number in range(opened, min(target, plan.connections)):
             address = plan.addresses[number % len(plan.addresses)]
-            self._start(_Stream(address))
-        return max(begun, min(wanted, plan.connections))
+            self._send_request(_Connection(address))
+        return max(opened, min(target, plan.connections))
 
-    def _start(self, stream: _Stream) -> None:
-        if stream.sock is None:
-            sock = socket.create_connection(stream.address)
+    def _send_request(self, connection: _Connection) -> None:
+        if connection.sock is None:
+            sock = socket.create_connection(connection.address)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             sock.setblocking(False)
-            stream.sock = sock
-            self._selector.register(sock, selectors.EVENT_READ, stream)
-        stream.tail = b""
-        stream.answered = False
-        stream.sent = stream.last = time.monotonic()
-        stream.sock.send(self._request)
-
-    def _read(self, stream: _Stream) -> None:
-        assert stream.sock is not None
+            connection.sock = sock
+            self._selector.register(sock, selectors.EVENT_READ, connection)
+        connection.received = b""
+        connection.has_token = False
+        connection.sent_at = connection.last_token_at = time.monotonic()
+        connection.sock.send(self._request)
+
+    def _receive(self, connection: _Connection) -> None:
+        assert connection.sock is not None
         try:
-            data = stream.sock.recv(_RECEIVE)
+            data = connection.sock.recv(_RECEIVE_BYTES)
         except OSError:
             data = b""
         if not data:
-            self._drop(stream)
+            self._reconnect(connection)
             return
         if self._plan.tokens:
-            self._note_chunks(stream, data)
+            self._record_tokens(connection, data)
         else:
-            self._note_answer(stream, data)
+            self._record_answer(connection, data)
 
-    def _note_chunks(self, stream: _Stream, data: bytes) -> None:
+    def _record_tokens(self, connection: _Connection, data: bytes) -> None:
         now = time.monotonic()
-        count = data.count(_TOKEN)
-        if count and self._counting:
+        count = data.count(_TOKEN_PREFIX)
+        if count and self._is_measuring:
             self.result.chunks += count
-            if stream.answered:
-                self.result.gaps.append(now - stream.last)
+            if connection.has_token:
+                self.result.gaps.append(now - connection.last_token_at)
             else:
-                self.result.first.append(now - stream.sent)
+                self.result.first.append(now - connection.sent_at)
         if count:
-            stream.answered = True
-            stream.last = now
-        stream.tail = (stream.tail + data)[-16:]
-        if stream.tail.endswith(_END):
-            self._finish(stream)
-
-    def _note_answer(self, stream: _Stream, data: bytes) -> None:
-        stream.tail += data
-        head, mark, body = stream.tail.partition(b"\r\n\r\n")
-        if not mark:
+            connection.has_token = True
+            connection.last_token_at = now
+        connection.received = (connection.received + data)[-16:]
+        if connection.received.endswith(_LAST_CHUNK):
+            self._finish_request(connection)
+
+    def _record_answer(self, connection: _Connection, data: bytes) -> None:
+        connection.received += data
+        head, separator, body = connection.received.partition(b"\r\n\r\n")
+        if not separator:
             return
-        lower = head.lower()
-        start = lower.find(b"content-length:")
-        length = int(lower[start + 15 :].split(b"\r\n", 1)[0])
+        lower_head = head.lower()
+        start = lower_head.find(b"content-length:")
+        length = int(lower_head[start + 15 :].split(b"\r\n", 1)[0])
         if len(body) < length:
             return
         if not head.startswith(b"HTTP/1.1 200"):
-            self.result.failures += int(self._counting)
-        elif self._counting:
-            self.result.first.append(time.monotonic() - stream.sent)
-        self._finish(stream)
-
-    def _finish(self, stream: _Stream) -> None:
-        self.result.requests += int(self._counting)
-        self._start(stream)
-
-    def _drop(self, stream: _Stream) -> None:
-        assert stream.sock is not None
-        self._selector.unregister(stream.sock)
-        stream.sock.close()
-        stream.sock = None
-        if stream.tail and not stream.tail.endswith(_END):
-            self.result.failures += int(self._counting)
-        self._start(stream)
+            self.result.failures += int(self._is_measuring)
+        elif self._is_measuring:
+            self.result.first.append(time.monotonic() - connection.sent_at)
+        self._finish_request(connection)
+
+    def _finish_request(self, connection: _Connection) -> None:
+        self.result.requests += int(self._is_measuring)
+        self._send_request(connection)
+
+    def _reconnect(self, connection: _Connection) -> None:
+        assert connection.sock is not None
+        self._selector.unregister(connection.sock)
+        connection.sock.close()
+        connection.sock = None
+        if connection.received and not connection.received.endswith(
+            _LAST_CHUNK
+        ):
+            self.result.failures += int(self._is_measuring)
+        self._send_request(connection)
 
 
 def _make_request(plan: LoadPlan) -> bytes:
@@ -194,9 +224,9 @@
 
 
 def main() -> None:
-    """Read a plan from standard input and print the result."""
+    """Read a plan from standard input and print the result as JSON."""
     plan = msgspec.json.decode(sys.stdin.buffer.read(), type=LoadPlan)
-    sys.stdout.buffer.write(msgspec.json.encode(Load(plan).run()))
+    sys.stdout.buffer.write(msgspec.json.encode(LoadGenerator(plan).run()))
 
 
 if __name__ == "__main__":
