--- a/bench/observers.py
+++ b/bench/observers.py
@@ -1,4 +1,4 @@
-"""What observing costs: processor of one entry by probes a second."""
+"""Processor time that an entry spends on each probe of an instance."""
 
 import time
 
@@ -8,14 +8,19 @@
 
 __all__ = ["measure_observers"]
 
-_SECONDS = 10.0
-_FEW = 2
-_MANY = 22
-_PROBES_A_SECOND = 2.0
+_MEASURE_SECONDS = 10.0
+_FEW_INSTANCES = 2
+_MANY_INSTANCES = 22
+# Probes of each instance.
+_PROBES_PER_SECOND = 2.0
 
 
 def _measure(count: int) -> float:
-    """Return the processor share of an entry that probes instances."""
+    """Return the processor time per second of an entry.
+
+    Args:
+        count: Instances that it probes.
+    """
     with fleet_module.Fleet() as fleet:
         for number in range(count):
             fleet.start_service(f"s{number}", "sizing", "regina")
@@ -29,15 +34,18 @@
         time.sleep(6.0)
         pid = fleet.get_pid("e1")
         before = relay.read_cpu(pid)
-        time.sleep(_SECONDS)
-        return (relay.read_cpu(pid) - before) / _SECONDS
+        time.sleep(_MEASURE_SECONDS)
+        return (relay.read_cpu(pid) - before) / _MEASURE_SECONDS
 
 
 @report.register("observers")
 def measure_observers() -> None:
-    """Measure the slope over the number of probes."""
-    few, many = _measure(_FEW), _measure(_MANY)
-    probes = (_MANY - _FEW) * _PROBES_A_SECOND
+    """Measure the processor time per probe.
+
+    It is the slope between a small and a large number of instances.
+    """
+    few, many = _measure(_FEW_INSTANCES), _measure(_MANY_INSTANCES)
+    probes = (_MANY_INSTANCES - _FEW_INSTANCES) * _PROBES_PER_SECOND
     report.emit("observers", "share_few", few * 100, "% of a core")
     report.emit("observers", "share_many", many * 100, "% of a core")
     report.emit("observers", "per_probe", (many - few) / probes * 1e3, "ms")
--- a/bench/peers.py
+++ b/bench/peers.py
@@ -1,9 +1,9 @@
-"""Membership and configuration: cost and time, in virtual time and real.
+"""Cost and latency of membership and configuration edits.
 
-In virtual time the real nodes run on fake links with delays between data
-centres; their messages are counted and measured as they would be sent.
-Over real processes on loopback the processor time and memory of entries
-at rest are read from the kernel.
+In virtual time, the real nodes run on a simulated network with delays
+between data centres; their messages and the encoded sizes are counted.
+With real processes on loopback, the processor time and memory of idle
+entries are read from the kernel.
 """
 
 import statistics
@@ -25,14 +25,16 @@
 __all__ = ["measure_peers", "measure_processes"]
 
 _DATACENTRES = 7
-# Sender, incarnations, clock, stamp and tag, in bytes.
-_ENVELOPE = 60
-_PROFILE = "[profile p]\nmodel = m\nreplicas = 0\nconcurrency = {number}\n"
-_LIMIT = 30.0
+# Bytes of an envelope apart from its body: sender, incarnations, clock,
+# stamp and tag.
+_ENVELOPE_BYTES = 60
+_PROFILE_INI = "[profile p]\nmodel = m\nreplicas = 0\nconcurrency = {number}\n"
+# Latency that is reported for an edit that is not accepted in this time.
+_EDIT_TIMEOUT_SECONDS = 30.0
 
 
 class _Traffic:
-    """Messages and bytes that nodes send."""
+    """Counts the messages and bytes that each node of a world sends."""
 
     def __init__(self, world: virtual.World) -> None:
         self._world = world
@@ -42,12 +44,12 @@
 
     def _count(self, host: virtual.Host, body: wire.Body) -> None:
         name = host.name
-        size = virtual.encode_size(body) + _ENVELOPE
+        size = virtual.encode_size(body) + _ENVELOPE_BYTES
         self.messages[name] = self.messages.get(name, 0) + 1
         self.bytes[name] = self.bytes.get(name, 0) + size
 
     def clear(self) -> None:
-        """Begin anew."""
+        """Reset the counts."""
         self.messages.clear()
         self.bytes.clear()
 
@@ -62,34 +64,40 @@
 
 
 def _run_edits(world: virtual.World, count: int) -> list[float]:
-    """Return the seconds until each edit was acknowledged everywhere."""
+    """Make edits one after the other; return the latency of each.
+
+    The latency is the time until the edit is in force on every live node,
+    in seconds of virtual time.
+    """
     names = [name for name, host in world.hosts.items() if host.alive]
-    found = []
+    latencies = []
     for number in range(count):
         host = world.hosts[names[(number * 37) % len(names)]]
         ticket = 1000 + number
-        wanted = sites.parse(_PROFILE.format(number=number + 1))
+        profile = sites.parse(_PROFILE_INI.format(number=number + 1))
         started = world.now
-        sites.put_profile(host, wanted, ticket)
+        sites.put_profile(host, profile, ticket)
 
-        def is_told(host: virtual.Host = host, ticket: int = ticket) -> bool:
+        def has_reply(host: virtual.Host = host, ticket: int = ticket) -> bool:
             return ticket in host.replies
 
-        world.run(started + _LIMIT, stop=is_told)
+        world.run(started + _EDIT_TIMEOUT_SECONDS, stop=has_reply)
         reply = host.replies.get(ticket)
         accepted = (
             isinstance(reply, edits.EditResult)
             and reply.outcome is edits.EditOutcome.ACCEPTED
         )
-        found.append(world.now - started if accepted else _LIMIT)
+        latencies.append(
+            world.now - started if accepted else _EDIT_TIMEOUT_SECONDS
+        )
         world.run(world.now + 0.5)
-    return found
+    return latencies
 
 
-def _emit_edits(name: str, times: list[float]) -> None:
-    report.emit(name, "edit_p50", statistics.median(times), "s")
-    report.emit(name, "edit_p99", load.percentile(times, 0.99), "s")
-    report.emit(name, "edit_worst", max(times), "s")
+def _emit_edits(name: str, latencies: list[float]) -> None:
+    report.emit(name, "edit_p50", statistics.median(latencies), "s")
+    report.emit(name, "edit_p99", load.percentile(latencies, 0.99), "s")
+    report.emit(name, "edit_worst", max(latencies), "s")
 
 
 def _emit_traffic(name: str, traffic: _Traffic, seconds: float) -> None:
@@ -106,14 +114,14 @@
 def _measure_virtual(count: int, datacentres: int, edit_count: int) -> None:
     name = f"peers.{count}"
     world = _make_world(count, datacentres, 1)
-    # Long enough for the news of the start to have gone round.
+    # Until the messages about the start have reached all nodes.
     world.run(90.0)
     traffic = _Traffic(world)
     started = time.process_time()
     world.run(world.now + 30.0)
-    spent = time.process_time() - started
+    processor_time = time.process_time() - started
     _emit_traffic(f"{name}.rest", traffic, 30.0)
-    share = spent / 30.0 / count * 100
+    share = processor_time / 30.0 / count * 100
     report.emit(name, "decisions_processor", share, "% of a core a node")
     _emit_edits(name, _run_edits(world, edit_count))
     if count >= 100:
@@ -123,7 +131,7 @@
 def _measure_losses(
     name: str, world: virtual.World, traffic: _Traffic
 ) -> None:
-    """Nineteen nodes die, then a rack of eight, then a data centre."""
+    """Measure the loss of 19 nodes, of a rack of 8 and of a data centre."""
     hosts = list(world.hosts.values())
     for label, dead in (
         ("19_failures", hosts[3 : 3 + 19 * 5 : 5]),
@@ -134,52 +142,59 @@
         for host in dead:
             host.kill()
         started = world.now
-        seen = [host for host in hosts if host.alive]
-        gone = {host.name for host in dead}
+        survivors = [host for host in hosts if host.alive]
+        lost = {host.name for host in dead}
 
         def is_known(
-            seen: list[virtual.Host] = seen,
-            gone: set[ids.NodeId] = gone,
+            survivors: list[virtual.Host] = survivors,
+            lost: set[ids.NodeId] = lost,
         ) -> bool:
             return all(
-                gone.isdisjoint(
+                lost.isdisjoint(
                     member.id for member in host.node.nodes.usable()
                 )
-                for host in seen
+                for host in survivors
             )
 
         while not is_known() and world.now < started + 60.0:
             world.run(world.now + 0.5)
-        taken = world.now - started
-        report.emit(f"{name}.{label}", "known_everywhere", taken, "s")
-        _emit_traffic(f"{name}.{label}", traffic, max(taken, 0.5))
+        latency = world.now - started
+        report.emit(f"{name}.{label}", "known_everywhere", latency, "s")
+        _emit_traffic(f"{name}.{label}", traffic, max(latency, 0.5))
 
 
 def _measure_false_verdicts() -> None:
-    """An hour of one data centre's nodes with 1 % of messages lost."""
+    """Count false verdicts while 1 % of messages are lost.
+
+    Fifty nodes of one data centre run for an hour of virtual time.
+    """
     world = _make_world(50, 1, 3)
     world.run(10.0)
     world.link_loss = 0.01
     world.run(world.now + 3600.0)
     name = f"{actions.Counter.MEMBER_VERDICTS.value}/dead"
-    false = sum(host.counts.get(name, 0) for host in world.hosts.values())
-    report.emit("peers.loss_1_percent", "false_verdicts", false, "1/h")
+    false_verdicts = sum(
+        host.counts.get(name, 0) for host in world.hosts.values()
+    )
+    report.emit(
+        "peers.loss_1_percent", "false_verdicts", false_verdicts, "1/h"
+    )
 
 
 @report.register("peers")
 def measure_peers() -> None:
-    """Measure in virtual time at several sizes."""
+    """Measure fleets of several sizes in virtual time."""
     for count in (21, 50, 100, 200, 350):
-        places = 3 if count == 21 else _DATACENTRES
-        _measure_virtual(count, places, 30 if count < 350 else 20)
+        datacentres = 3 if count == 21 else _DATACENTRES
+        _measure_virtual(count, datacentres, 30 if count < 350 else 20)
     _measure_false_verdicts()
 
 
-# -- Over real processes
+# -- Real processes
 
 
 class _Site:
-    """Entry processes on loopback, with nothing behind them."""
+    """Entry processes on loopback, without engines or services."""
 
     def __init__(self, fleet: fleet_module.Fleet, count: int) -> None:
         self.fleet = fleet
@@ -190,41 +205,43 @@
         fleet.start_platform()
         for name in self.names:
             fleet.start_entry(name)
-        fleet_module.wait_until(self._is_complete, 120, "all know all")
+        fleet_module.wait_until(
+            self._is_complete, 120, "every entry knows all entries"
+        )
 
     def _is_complete(self) -> bool:
         for name in (self.names[0], self.names[-1]):
             if not self.fleet.is_answering(name, "/readyz"):
                 return False
             members = self.fleet.read_json(name, "status")["members"]
-            live = [one for one in members if one["incarnation"]]
+            live = [member for member in members if member["incarnation"]]
             if len(live) < len(self.names):
                 return False
         return True
 
     def read_cpu(self) -> float:
-        """Return the processor seconds of all entries."""
+        """Return the processor seconds that all entries have used."""
         pids = [self.fleet.get_pid(name) for name in self.names]
         return sum(relay.read_cpu(pid) for pid in pids)
 
     def edit(self, number: int, name: str) -> tuple[float, str]:
-        """Return how long an edit took, and its outcome."""
-        value = sites.parse(_PROFILE.format(number=number))
-        held = self.fleet.read_json(name, "profile", "show")
-        version = held[0]["version"] if held else 0
+        """Edit the profile; return the latency in seconds and the outcome."""
+        profile = sites.parse(_PROFILE_INI.format(number=number))
+        stored = self.fleet.read_json(name, "profile", "show")
+        version = stored[0]["version"] if stored else 0
         path = f"/v1/admin/profiles/p?expected={version}"
         started = time.monotonic()
         answer = self.fleet.call_signed(
-            "PUT", name, path, msgspec.json.encode(value)
+            "PUT", name, path, msgspec.json.encode(profile)
         )
-        taken = time.monotonic() - started
+        latency = time.monotonic() - started
         outcome = msgspec.json.decode(answer.data)["outcome"]
-        return taken, outcome
+        return latency, outcome
 
 
 @report.register("processes")
 def measure_processes() -> None:
-    """Measure real entry processes at rest and during edits."""
+    """Measure real entry processes while idle and during edits."""
     for count in (21, 50, 100):
         with fleet_module.Fleet() as fleet:
             _measure_site(_Site(fleet, count), count)
@@ -237,19 +254,28 @@
     time.sleep(10.0)
     share = (site.read_cpu() - before) / 10.0 / count * 100
     report.emit(name, "processor", share, "% of a core a node")
-    sizes = [relay.read_memory(site.fleet.get_pid(one)) for one in site.names]
+    sizes = [
+        relay.read_memory(site.fleet.get_pid(entry)) for entry in site.names
+    ]
     report.emit(name, "memory_mean", statistics.mean(sizes), "MB")
     report.emit(name, "memory_most", max(sizes), "MB")
-    times = []
+    latencies = []
     for number in range(20):
-        taken, outcome = site.edit(number + 1, site.names[number * 7 % count])
-        times.append(taken if outcome == "accepted" else _LIMIT)
-    _emit_edits(name, times)
-    for victim in site.names[-2:]:
-        site.fleet.kill(victim)
+        latency, outcome = site.edit(
+            number + 1, site.names[number * 7 % count]
+        )
+        latencies.append(
+            latency if outcome == "accepted" else _EDIT_TIMEOUT_SECONDS
+        )
+    _emit_edits(name, latencies)
+    for killed in site.names[-2:]:
+        site.fleet.kill(killed)
     started = time.monotonic()
-    taken, outcome = site.edit(99, site.names[0])
-    while outcome != "accepted" and time.monotonic() - started < _LIMIT:
-        taken, outcome = site.edit(99, site.names[0])
+    latency, outcome = site.edit(99, site.names[0])
+    while (
+        outcome != "accepted"
+        and time.monotonic() - started < _EDIT_TIMEOUT_SECONDS
+    ):
+        latency, outcome = site.edit(99, site.names[0])
     total = time.monotonic() - started
     report.emit(name, "edit_with_two_killed", total, "s")
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,4 +1,4 @@
-"""Lines of measurements and the registry of benches."""
+"""Registry of benchmarks and output of their measurements."""
 
 from collections import abc
 import sys
@@ -8,15 +8,14 @@
 __all__ = ["Bench", "emit", "list_benches", "register"]
 
 Bench = abc.Callable[[], None]
-_BENCHES: dict[str, Bench] = {}
+_REGISTRY: dict[str, Bench] = {}
 
 
 class Line(msgspec.Struct, omit_defaults=True):
-    """One measurement.
+    """A measurement, printed as a JSON object.
 
     Attributes:
-        baseline: The same measured of what it is compared with, in the
-            same run.
+        baseline: The same metric of the baseline, measured in the same run.
     """
 
     bench: str
@@ -27,18 +26,21 @@
 
 
 def register(name: str) -> abc.Callable[[Bench], Bench]:
-    """Register a bench under a name."""
+    """Return a decorator that registers a benchmark under a name.
+
+    The name is the one given on the command line.
+    """
 
     def add(bench: Bench) -> Bench:
-        _BENCHES[name] = bench
+        _REGISTRY[name] = bench
         return bench
 
     return add
 
 
 def list_benches() -> dict[str, Bench]:
-    """Return all benches by name."""
-    return dict(_BENCHES)
+    """Return all registered benchmarks by name."""
+    return dict(_REGISTRY)
 
 
 def emit(
@@ -48,7 +50,7 @@
     unit: str,
     baseline: float | None = None,
 ) -> None:
-    """Print one measurement as a JSON object on a line."""
+    """Print a measurement as a JSON object on a line, rounded to 1e-6."""
     rounded = None if baseline is None else round(baseline, 6)
     line = Line(bench, metric, round(value, 6), unit, rounded)
     sys.stdout.write(msgspec.json.encode(line).decode() + "\n")
