--- a/bench/demo.py
+++ b/bench/demo.py
@@ -185,10 +185,10 @@
 
     def _request_addresses(self) -> str:
         answer = self._get_json("GET", "winnipeg-1", "/v1/entries")
-        names = [one["node"] for one in answer["entries"]]
+        names = [entry["node"] for entry in answer["entries"]]
         self._check(
             names[0] == "winnipeg-1",
-            "the own data centre's entry is not named first",
+            "the first entry is not in the caller's data centre",
         )
         self._print(f"use {', '.join(names)} for {answer['ttl']:g} s")
         return answer["key_prefix"]
@@ -271,7 +271,7 @@
         self._fleet.send_signal("regina-1", signal.SIGTERM)
         time.sleep(0.5)
         answer = self._get_json("GET", "regina-2", "/v1/entries")
-        names = [one["node"] for one in answer["entries"]]
+        names = [entry["node"] for entry in answer["entries"]]
         self._check(
             "regina-1" not in names, f"regina-1 is still named: {names}"
         )
