--- a/currantwall/coordination/peers/membership.py
+++ b/currantwall/coordination/peers/membership.py
@@ -4,9 +4,11 @@
 node pings another node every interval, in rounds that cover all of them.
 If a ping is not answered, other nodes are asked to ping the target before
 it is suspected. A suspect that is alive refutes the suspicion by raising
-its serial. Changes of members spread as gossip in the pings. Between data
-centres the relays exchange digests (anti-entropy); where digests differ,
-members are sent.
+its serial. Changes of members spread as gossip in the pings. Each node
+also exchanges digests of its members with another node of its data centre,
+and the relays with the relays of other data centres (anti-entropy); where
+digests differ, members are sent. These digests are hashes, unlike those of
+the module `digests`.
 
 The protocol is SWIM (Das, Gupta, Motivala, 2002) with two additions: a
 node that was itself paused, or that hears from no other node, declares
@@ -95,7 +97,7 @@
         # Exchanges in a row that a data centre has not answered.
         self._unanswered: dict[ids.DatacentreName, int] = {}
         # When a relay last reported a data centre unreachable.
-        self._unreachable_since: dict[ids.DatacentreName, float] = {}
+        self._unreachable_reported_at: dict[ids.DatacentreName, float] = {}
         self._next_table = 0.0
         self._exchanges = 0
         # Cache of `list_relays` for one revision of the view.
@@ -166,7 +168,7 @@
         return self._probe_now(target, now)
 
     @part.handles(messages.ProbeRequested)
-    def _on_doubt(
+    def _on_probe_requested(
         self, message: messages.ProbeRequested, now: float
     ) -> list[part.Action]:
         """Have a node probed at once, from within its data centre."""
@@ -184,6 +186,7 @@
     def _on_remote_doubt(
         self, message: messages.Received, now: float
     ) -> list[part.Action]:
+        """Probe a node of this data centre for a node of another one."""
         member = self._view.get(message.body.target)
         if member is None or member.datacentre != self._view.me.datacentre:
             return []
@@ -459,7 +462,7 @@
         if member.incarnation == 0:
             self._view.drop(member.id)
 
-    # -- Between data centres
+    # -- Exchanges, inside and between data centres
 
     def _start_exchanges(self) -> list[part.Action]:
         me = self._view.me
@@ -570,17 +573,19 @@
             return []
         reach = message.payload
         if reach.reachable:
-            self._unreachable_since.pop(reach.datacentre, None)
+            self._unreachable_reported_at.pop(reach.datacentre, None)
         else:
-            self._unreachable_since[reach.datacentre] = now
+            self._unreachable_reported_at[reach.datacentre] = now
         return self._mark_reachable(reach.datacentre, reach.reachable)
 
     def _expire_reach(self, now: float) -> list[part.Action]:
         """Mark data centres reachable whose last report has expired."""
         result: list[part.Action] = []
-        for datacentre, since in list(self._unreachable_since.items()):
-            if now - since > _REACH_EXPIRY_SECONDS:
-                del self._unreachable_since[datacentre]
+        for datacentre, reported_at in list(
+            self._unreachable_reported_at.items()
+        ):
+            if now - reported_at > _REACH_EXPIRY_SECONDS:
+                del self._unreachable_reported_at[datacentre]
                 result += self._mark_reachable(datacentre, True)
         return result
 
--- a/currantwall/coordination/peers/outages.py
+++ b/currantwall/coordination/peers/outages.py
@@ -59,7 +59,7 @@
                 another one.
         """
         index = bisect.bisect_right(self._answers, at)
-        if index and at - self._answers[index - 1] < (_RESOLUTION_SECONDS):
+        if index and at - self._answers[index - 1] < _RESOLUTION_SECONDS:
             return
         self._answers.insert(index, at)
         oldest = self._answers[-1] - _ANSWERS_KEPT_SECONDS
--- a/currantwall/coordination/peers/presence.py
+++ b/currantwall/coordination/peers/presence.py
@@ -54,7 +54,8 @@
 # duty.
 _PREFERRED_CAPACITY_RATIO = 0.5
 # Number of nodes that read the store for all others, in each data centre and
-# in all data centres together; more would only repeat the same reads.
+# in all data centres together, but at least one in each; more would only
+# repeat the same reads.
 _READERS_PER_DATACENTRE = 2
 _READERS_IN_ALL = 6
 # Time since a reader's last answer from the store after which a node reads
@@ -343,6 +344,8 @@
     def rank(self, duty: str, now: float) -> list[ids.NodeId]:
         """Return the nodes that are ready, the preferred ones first.
 
+        This node is always one of them, ready or not.
+
         Nodes of large capacity are preferred: the holder of a domain
         probes each of its 37 instances up to five times a second while it
         repairs a replica.
