--- a/currantwall/coordination/requests/admission.py
+++ b/currantwall/coordination/requests/admission.py
@@ -3,10 +3,10 @@
 A request is routed at once when its target has a free slot. Otherwise it
 waits in the queue of its organisation; the queues share the slots by
 weighted fair queueing, and within one queue the request with the highest
-weight comes first. A request that cannot be answered before its deadline
-is refused at once, with the time to wait before a retry. When the queues
-are full, the request with the lowest weight in the queue of the
-organisation is refused in favour of one with a higher weight.
+weight comes first. A request that finds the queues full, would wait too
+long or cannot be answered before its deadline is refused at once, with the
+time to wait before a retry. If the queue of its organisation holds requests
+of a lower weight, the one with the lowest is refused in its place.
 
 The slots that an organisation may use over all entries follow from its
 demand at all entries, which they publish. Each entry computes the same
@@ -413,7 +413,7 @@
     def _make_deadline_refusal(
         self, target: _Target, now: float
     ) -> routing.Refusal:
-        """Return the refusal of a request that would be answered too late."""
+        """Return the refusal of a request that may not wait any longer."""
         wait = 1.0
         if target.completion_rate > 0:
             wait = target.queued_count / target.completion_rate
--- a/currantwall/coordination/requests/attempts.py
+++ b/currantwall/coordination/requests/attempts.py
@@ -1,12 +1,12 @@
 """Timeouts and retries of requests that an upstream fails to answer.
 
-Failures: in a large fleet some upstreams always vanish, fall silent,
+Failures: in a large fleet some upstreams always vanish, go silent,
 refuse requests or break off an answer while callers wait. A request that
-has not run is sent to another upstream at once. One that may have run is
-repeated only if its route allows that, at most as often as the route
-says, and only within the repeat budget that all nodes share. Every other
-request gets its final answer immediately: waiting longer would only keep
-the caller from trying again.
+has not run is sent to another upstream at once, on any route. One that may
+have run is repeated only if its route allows that, and at most as often as
+the route says. Each repeat, of either kind, is taken from the budget that
+all nodes share. Every other request gets its final answer immediately:
+waiting longer would only keep the caller from trying again.
 """
 
 import enum
@@ -105,7 +105,8 @@
 class Verdict(enum.Enum):
     """What to do after a failed attempt."""
 
-    # Send the request to another upstream.
+    # Send the request to another upstream, whatever the budget. `decide`
+    # does not return this: it charges every repeat.
     REPEAT = "repeat"
     # The same, provided that the shared budget still has a repeat to take.
     REPEAT_PAID = "repeat_paid"
--- a/currantwall/coordination/requests/capacity.py
+++ b/currantwall/coordination/requests/capacity.py
@@ -91,7 +91,8 @@
     """Return the number of requests that a replica can serve at once.
 
     With this number no pause of a stream exceeds `gap`, even while a
-    prompt of mean length is read between two events. At least 1.
+    prompt of mean length is read between two events. It is at least 1 and
+    at most the engine's slots.
 
     Args:
         engine: The operator's configuration of the engine.
--- a/currantwall/coordination/requests/homes.py
+++ b/currantwall/coordination/requests/homes.py
@@ -7,8 +7,9 @@
 ``claims/<hash>``. If the home is gone, the outcome of a key that it may
 have dispatched is unknown, and the call is never run again.
 
-Keys of a period that has passed are removed. A later retry is refused
-with an unknown outcome, so removing a key never leads to a second run.
+Keys are removed `key_periods` periods after the end of their own. A later
+retry is refused with an unknown outcome, so removing a key never leads to
+a second run.
 """
 
 from collections import abc
--- a/currantwall/coordination/requests/retries.py
+++ b/currantwall/coordination/requests/retries.py
@@ -1,8 +1,9 @@
 """Whether a failed attempt is retried.
 
 An attempt is retried only if the request has not run or may be repeated,
-never at an upstream that refuses because of its load, and never past the
-deadline. A retry budget keeps the retries a small share of the requests:
+and never past the deadline. The caller of `Retries` sends it to an upstream
+that was not tried before, so never back to one that refused because of its
+load. A retry budget keeps the retries a small share of the requests:
 without that bound an outage doubles the load when the upstreams can bear
 it least.
 """
--- a/currantwall/coordination/requests/routing.py
+++ b/currantwall/coordination/requests/routing.py
@@ -164,6 +164,7 @@
 
     def __init__(self) -> None:
         self.open = 0
+        # Times and steps since the last report, and the sum of the steps.
         self._net_change = 0
         self._changes: collections.deque[tuple[float, int]] = (
             collections.deque(maxlen=_LOAD_CHANGES_LIMIT)
