--- a/tests/test_digests.py
+++ b/tests/test_digests.py
@@ -2,7 +2,7 @@
 
 The nodes are real `Presence` and `Relay` objects; the simulated network of
 `bench.digests` carries the datagrams and drops those to or from nodes that
-are dead or cut off.
+are dead. Nodes that are cut off are simulated as dead ones, too.
 """
 
 import unittest
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -122,7 +122,7 @@
         )
 
     def test_gateways_share_the_slots_that_all_see_as_free(self):
-        """Guards against gateways that each fill the same free slot."""
+        """Guards against 15 gateways that each fill the same free slot."""
         self.assertAlmostEqual(backlog.divide_slots(3, 2, 28), 0.2)
         self.assertGreater(backlog.divide_slots(3, 2, 1), 2)
 
