--- a/currantwall/coordination/requests/homes.py
+++ b/currantwall/coordination/requests/homes.py
@@ -485,9 +485,9 @@
         decision = Decision(
             DecisionKind.UNKNOWN,
             reason=(
-                "nothing was run now, but the home of the key cannot be"
-                " looked up while the platform does not answer; retry with"
-                " the same key, or use keys with the prefix from /v1/entries"
+                "nothing was run now, but the key's home cannot be looked"
+                " up while the platform does not answer; try the same key"
+                " again, or use keys with the prefix from /v1/entries"
             ),
             retry_after=self._settings.entries_ttl,
         )
