--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,4 +1,4 @@
 """Stand-ins for outside systems: platform, engines, plain services.
 
-They speak the documented interfaces and can be told to misbehave.
+They implement the documented interfaces and can inject faults.
 """
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,8 +1,8 @@
-"""A model engine instance: reports, orders, chat completions.
+"""A stand-in engine instance: reports, orders and chat completions.
 
-It loads a model when ordered into a replica and answers requests when it
-is the ready leader. Tokens are made from the request, so a test can tell
-whose answer it got.
+It loads a model when an order adds it to a replica, and answers requests
+while it is the replica's leader and ready. Tokens are the words of the
+request, so a test can tell which request an answer belongs to.
 """
 
 from collections import abc
@@ -28,12 +28,12 @@
 
 
 class Faults(msgspec.Struct):
-    """How the engine misbehaves.
+    """Faults that the engine injects.
 
     Attributes:
-        cut_after: Tokens after which streams break off, -1 for never.
-        stall: Seconds that each answer waits before it begins.
-        refuse: Whether new requests are refused for load.
+        cut_after: Tokens after which streams are cut, -1 for never.
+        stall: Delay before each answer begins, in seconds.
+        refuse: Whether new requests are refused as if overloaded.
     """
 
     cut_after: int = -1
@@ -48,8 +48,8 @@
     max_tokens: int = _DEFAULT_TOKENS
 
 
-class _Cut(Exception):  # noqa: N818
-    """Breaks a stream off."""
+class _StreamCut(Exception):  # noqa: N818
+    """Raised in the middle of a stream to cut it."""
 
 
 class EngineHandlers(server.Handlers):
@@ -81,7 +81,7 @@
 
     @server.route("POST", upstream.ORDERS_PATH)
     def take_order(self, request: server.Request) -> Response:
-        """Obey an order, unless its fencing number is old."""
+        """Apply an order, or answer 409 when it is fenced off."""
         order = upstream.decode_order(request.body)
         if not self._model.take_order(order, time.monotonic()):
             return Response(http.HTTPStatus.CONFLICT, ())
@@ -121,11 +121,11 @@
     def _stream(self, chat: _Chat, tokens: list[str]) -> abc.Iterator[bytes]:
         self._model.running += 1
         try:
-            for place, token in enumerate(tokens):
-                if place == self._faults.cut_after:
-                    raise _Cut
+            for index, token in enumerate(tokens):
+                if index == self._faults.cut_after:
+                    raise _StreamCut
                 eventlet.sleep(self._token_interval)
-                yield _make_chunk(chat.model, token)
+                yield _encode_event(chat.model, token)
             yield b"data: [DONE]\n\n"
         finally:
             self._model.running -= 1
@@ -134,7 +134,7 @@
 
     @server.route("POST", r"/control/faults")
     def set_faults(self, request: server.Request) -> Response:
-        """Set how the engine misbehaves."""
+        """Set the faults to inject."""
         self._faults = msgspec.json.decode(request.body, type=Faults)
         return Response(http.HTTPStatus.OK, ())
 
@@ -145,7 +145,7 @@
     return [words[n % len(words)] for n in range(chat.max_tokens)]
 
 
-def _make_chunk(model: str, token: str) -> bytes:
+def _encode_event(model: str, token: str) -> bytes:
     body = {
         "object": "chat.completion.chunk",
         "model": model,
--- a/standins/enginemodel.py
+++ b/standins/enginemodel.py
@@ -1,4 +1,4 @@
-"""What an engine instance does with orders, without sockets or clock."""
+"""How an engine instance handles orders, without sockets or a clock."""
 
 from collections import abc
 
@@ -12,11 +12,11 @@
 
 
 class WeightStore:
-    """Where models are loaded from, so many at a time.
+    """A store of model weights that serves a limited number of loads.
 
     Args:
         slots: Instances that can load at the same time.
-        load_time: Seconds that one of them takes.
+        load_time: Duration of one load, in seconds.
     """
 
     def __init__(self, slots: int, load_time: float) -> None:
@@ -25,12 +25,12 @@
         self.loads = 0
 
     def reserve(self, now: float) -> float:
-        """Return when a load that is asked for now is done."""
+        """Queue a load at `now`; return the time at which it is done."""
         self.loads += 1
-        place = min(range(len(self._free_at)), key=self._free_at.__getitem__)
-        start = max(now, self._free_at[place])
-        self._free_at[place] = start + self._load_time
-        return self._free_at[place]
+        slot = min(range(len(self._free_at)), key=self._free_at.__getitem__)
+        start = max(now, self._free_at[slot])
+        self._free_at[slot] = start + self._load_time
+        return self._free_at[slot]
 
 
 class EngineModel:
@@ -39,9 +39,9 @@
     Args:
         instance: Its id.
         checks_epoch: Whether an order with an old epoch is refused.
-        load: Returns when a load that begins now is done.
-        start_time: Seconds that a new group needs to start up.
-        started: Start of the process.
+        load: Returns the time at which a load requested now is done.
+        started: Identifies this start of the process.
+        start_time: Seconds that a new group needs to start after loading.
     """
 
     def __init__(
@@ -60,13 +60,13 @@
         self._started = started
         self._start_time = start_time
         self._epoch = ids.Epoch(0)
-        # An instance holds the part of the model that its rank in a
-        # group of some size asks for.
+        # The shard in memory: model, version, rank and group size, which
+        # together decide what part of the model an instance holds.
         self._loaded: tuple[str, str, int, int] | None = None
         self._ready_at = 0.0
 
     def take_order(self, order: actions.Order, now: float) -> bool:
-        """Obey an order; return False when it is fenced."""
+        """Apply an order; return False when it is fenced off."""
         if self._checks_epoch and order.epoch < self._epoch:
             return False
         self._epoch = max(self._epoch, order.epoch)
@@ -79,33 +79,35 @@
         if self._is_repeated(order):
             return True
         size = len(order.members)
-        wanted = (order.model, order.model_version, order.rank, size)
-        done = now if self._loaded == wanted else self._load(now)
-        self._loaded = wanted
+        shard = (order.model, order.model_version, order.rank, size)
+        done = now if self._loaded == shard else self._load(now)
+        self._loaded = shard
         self._ready_at = done + self._start_time
         self.order = order
         return True
 
     def _load_adapters(self, order: actions.Order) -> None:
-        """Load adapters beside the model; only in the same generation."""
-        held = self.order
-        if held is not None and held.generation == order.generation:
-            self.order = msgspec.structs.replace(held, adapters=order.adapters)
+        """Load adapters, if the order names the current generation."""
+        current = self.order
+        if current is not None and current.generation == order.generation:
+            self.order = msgspec.structs.replace(
+                current, adapters=order.adapters
+            )
 
     def _is_repeated(self, order: actions.Order) -> bool:
-        held = self.order
+        current = self.order
         return (
-            held is not None
-            and held.replica == order.replica
-            and held.generation == order.generation
+            current is not None
+            and current.replica == order.replica
+            and current.generation == order.generation
         )
 
     def is_ready(self, now: float) -> bool:
-        """Return whether it has loaded what it was ordered to."""
+        """Return whether it has a model loaded and its group started."""
         return self.order is not None and now >= self._ready_at
 
     def leads(self, now: float) -> bool:
-        """Return whether it takes requests."""
+        """Return whether it takes requests: ready, and of rank 0."""
         return (
             self.is_ready(now)
             and self.order is not None
@@ -113,7 +115,7 @@
         )
 
     def report(self, now: float) -> instances.Report:
-        """Return what it says of itself."""
+        """Return the instance's report."""
         order = self.order
         if order is None:
             return instances.Report(
--- a/standins/fastengine.py
+++ b/standins/fastengine.py
@@ -1,8 +1,8 @@
-"""An engine for load: one loop over plain sockets, streams at full rate.
+"""A stand-in engine for load tests: one event loop over plain sockets.
 
 It behaves like `standins.engine` but answers chat requests with a fixed
-token at a fixed interval, so that one process feeds tens of thousands of
-chunks a second and the measured side is the entry, not the stand-in.
+token at a fixed interval. One process sends tens of thousands of chunks
+a second, so that a load test measures the entry, not the stand-in.
 """
 
 import heapq
@@ -22,8 +22,8 @@
 
 __all__ = ["FastEngine", "main"]
 
-_RECEIVE = 65_536
-_HEAD = (
+_RECEIVE_SIZE = 65_536  # bytes
+_STREAM_HEAD = (
     b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
     b"Transfer-Encoding: chunked\r\n\r\n"
 )
@@ -31,9 +31,9 @@
     b'data: {"object":"chat.completion.chunk","choices":'
     b'[{"index":0,"delta":{"content":"word "}}]}\n\n'
 )
-_CHUNK = b"%x\r\n%s\r\n" % (len(_TOKEN), _TOKEN)
-_DONE = b"data: [DONE]\n\n"
-_END = b"%x\r\n%s\r\n0\r\n\r\n" % (len(_DONE), _DONE)
+_TOKEN_CHUNK = b"%x\r\n%s\r\n" % (len(_TOKEN), _TOKEN)
+_DONE_EVENT = b"data: [DONE]\n\n"
+_END_CHUNKS = b"%x\r\n%s\r\n0\r\n\r\n" % (len(_DONE_EVENT), _DONE_EVENT)
 
 
 class _Chat(msgspec.Struct):
@@ -46,13 +46,13 @@
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
-        self.data = b""
-        self.left = 0
+        self.buffer = b""
+        self.tokens_left = 0
         self.open = True
 
 
 class FastEngine:
-    """One engine instance in one loop."""
+    """One engine instance in one event loop."""
 
     def __init__(
         self, address: tuple[str, int], instance: str, interval: float
@@ -66,7 +66,7 @@
         self._interval = interval
         self._selector = selectors.DefaultSelector()
         self._timers: list[tuple[float, int, _Connection]] = []
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         self._listener = socket.create_server(address, backlog=1024)
         self._listener.setblocking(False)
         self._selector.register(self._listener, selectors.EVENT_READ)
@@ -74,14 +74,14 @@
     def run(self) -> None:
         """Serve for ever."""
         while True:
-            for key, _ in self._selector.select(self._wait()):
+            for key, _ in self._selector.select(self._compute_timeout()):
                 if key.data is None:
                     self._accept()
                 else:
                     self._read(key.data)
             self._send_due()
 
-    def _wait(self) -> float:
+    def _compute_timeout(self) -> float:
         if not self._timers:
             return 1.0
         return max(0.0, self._timers[0][0] - time.monotonic())
@@ -95,19 +95,19 @@
 
     def _read(self, connection: _Connection) -> None:
         try:
-            data = connection.sock.recv(_RECEIVE)
+            data = connection.sock.recv(_RECEIVE_SIZE)
         except OSError:
             data = b""
         if not data:
             self._close(connection)
             return
-        connection.data += data
+        connection.buffer += data
         while self._take_request(connection):
             continue
 
     def _take_request(self, connection: _Connection) -> bool:
-        head, mark, rest = connection.data.partition(b"\r\n\r\n")
-        if not mark:
+        head, separator, rest = connection.buffer.partition(b"\r\n\r\n")
+        if not separator:
             return False
         length = 0
         for line in head.lower().split(b"\r\n"):
@@ -115,7 +115,7 @@
                 length = int(line.split(b":")[1])
         if len(rest) < length:
             return False
-        connection.data = rest[length:]
+        connection.buffer = rest[length:]
         self._answer(connection, head.split(b" ")[1], rest[:length])
         return True
 
@@ -124,11 +124,11 @@
     ) -> None:
         if path.startswith(upstream.REPORT_PATH.encode()):
             report = self._model.report(time.monotonic())
-            self._send_whole(connection, msgspec.json.encode(report))
+            self._send_json(connection, msgspec.json.encode(report))
         elif path.startswith(upstream.ORDERS_PATH.encode()):
             order = upstream.decode_order(body)
             self._model.take_order(order, time.monotonic())
-            self._send_whole(connection, b"{}")
+            self._send_json(connection, b"{}")
         else:
             self._start_chat(connection, body)
 
@@ -136,15 +136,15 @@
         chat = msgspec.json.decode(body, type=_Chat)
         if not chat.stream:
             answer = _TOKEN[6:-2] * 1
-            self._send_whole(connection, answer)
+            self._send_json(connection, answer)
             return
         self._model.running += 1
-        connection.left = chat.max_tokens
-        self._send(connection, _HEAD)
-        self._plan(connection, time.monotonic() + self._interval)
+        connection.tokens_left = chat.max_tokens
+        self._send(connection, _STREAM_HEAD)
+        self._schedule(connection, time.monotonic() + self._interval)
 
-    def _plan(self, connection: _Connection, at: float) -> None:
-        heapq.heappush(self._timers, (at, next(self._order), connection))
+    def _schedule(self, connection: _Connection, at: float) -> None:
+        heapq.heappush(self._timers, (at, next(self._sequence), connection))
 
     def _send_due(self) -> None:
         now = time.monotonic()
@@ -152,15 +152,15 @@
             at, _, connection = heapq.heappop(self._timers)
             if not connection.open:
                 continue
-            if connection.left > 0:
-                connection.left -= 1
-                self._send(connection, _CHUNK)
-                self._plan(connection, at + self._interval)
+            if connection.tokens_left > 0:
+                connection.tokens_left -= 1
+                self._send(connection, _TOKEN_CHUNK)
+                self._schedule(connection, at + self._interval)
             else:
                 self._model.running -= 1
-                self._send(connection, _END)
+                self._send(connection, _END_CHUNKS)
 
-    def _send_whole(self, connection: _Connection, body: bytes) -> None:
+    def _send_json(self, connection: _Connection, body: bytes) -> None:
         head = (
             b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
             b"Content-Length: %d\r\n\r\n" % len(body)
@@ -177,7 +177,7 @@
         if not connection.open:
             return
         connection.open = False
-        if connection.left > 0:
+        if connection.tokens_left > 0:
             self._model.running -= 1
         self._selector.unregister(connection.sock)
         connection.sock.close()
@@ -190,7 +190,7 @@
         float, typer.Option(help="Seconds between tokens.")
     ] = 0.02,
 ) -> None:
-    """Run one engine instance for load."""
+    """Run one engine instance for load tests."""
     parsed = settings.split_address(address)
     if parsed is None:
         raise SystemExit(f"expected HOST:PORT, got {address!r}")
--- a/standins/objectapi.py
+++ b/standins/objectapi.py
@@ -1,8 +1,9 @@
-"""The object API as the users' platform speaks it.
+"""A stand-in for the object API of the users' platform.
 
-It serves the same store as the product's own interface: objects with
-revisions, conditional writes and watches. Faults can be set: down, slow,
-losing answers, forgetting its history.
+It serves the same store as `standins.platform`, which has the product's
+own interface: objects with revisions, conditional writes and watches by
+long poll. Faults can be injected: an outage, latency, lost answers and a
+lost history of changes.
 """
 
 import http
@@ -18,18 +19,19 @@
 
 __all__ = ["ObjectApiFaults", "ObjectApiHandlers"]
 
-_PATH = r"/currantwall/objects/(?P<kind>[^/]+)"
-_NAMED = _PATH + r"/(?P<name>[^/]+)"
+_KIND_PATH = r"/currantwall/objects/(?P<kind>[^/]+)"
+_OBJECT_PATH = _KIND_PATH + r"/(?P<name>[^/]+)"
 Response = server.Response
 
 
 class ObjectApiFaults(msgspec.Struct):
-    """How the API misbehaves.
+    """Faults that the API injects.
 
     Attributes:
         down: Whether every call is answered 503.
-        lose_writes: Writes to carry out whose answer is then lost.
-        delay: Seconds by which each answer is late.
+        lose_writes: Number of writes to apply and then answer 500, as if
+            the answer were lost.
+        delay: Seconds added to each answer.
     """
 
     down: bool = False
@@ -45,50 +47,53 @@
         self._faults = ObjectApiFaults()
         self._changed = eventlet.event.Event()
 
-    @server.route("GET", _PATH)
+    @server.route("GET", _KIND_PATH)
     def list_objects(self, request: server.Request) -> Response:
-        """Return the objects of a kind, or what changed of them."""
-        failed = self._begin()
+        """Return the objects of a kind, or with `watch` their changes."""
+        failed = self._apply_faults()
         if failed is not None:
             return failed
         kind = request.path_params["kind"]
         if "watch" in request.query:
             return self._watch(kind, request.query)
-        items = [_show(one) for one in self._store.select({kind})]
-        return _answer(
+        items = [
+            _encode_object(stored) for stored in self._store.select({kind})
+        ]
+        return _make_answer(
             {"items": items, "hasMore": False, "asOf": self._store.revision}
         )
 
     def _watch(self, kind: str, query: dict[str, str]) -> Response:
         since = int(query["watch"])
-        left = int(query["waitMs"]) / 1000.0
+        remaining = int(query["waitMs"]) / 1000.0
         while True:
             found = self._store.select_events({kind}, since)
             if found is None:
-                return _fail(http.HTTPStatus.GONE)
-            if found or left <= 0:
+                return _make_failure(http.HTTPStatus.GONE)
+            if found or remaining <= 0:
                 break
             before = eventlet.hubs.get_hub().clock()
-            with eventlet.Timeout(left, False):
+            with eventlet.Timeout(remaining, False):
                 self._changed.wait()
-            left -= eventlet.hubs.get_hub().clock() - before
+            remaining -= eventlet.hubs.get_hub().clock() - before
         events = [
-            {"object": _show(one), "removed": not one.value} for one in found
+            {"object": _encode_object(stored), "removed": not stored.value}
+            for stored in found
         ]
-        return _answer({"events": events, "asOf": self._store.revision})
+        return _make_answer({"events": events, "asOf": self._store.revision})
 
-    @server.route("GET", _NAMED)
+    @server.route("GET", _OBJECT_PATH)
     def read_object(self, request: server.Request) -> Response:
         """Return one object."""
-        failed = self._begin()
+        failed = self._apply_faults()
         if failed is not None:
             return failed
         stored = self._store.get(_make_key(request))
         if stored is None:
-            return _fail(http.HTTPStatus.NOT_FOUND)
-        return _answer(_show(stored))
+            return _make_failure(http.HTTPStatus.NOT_FOUND)
+        return _make_answer(_encode_object(stored))
 
-    @server.route("POST", _PATH)
+    @server.route("POST", _KIND_PATH)
     def create_object(self, request: server.Request) -> Response:
         """Create an object, named in its metadata."""
         body = msgspec.json.decode(request.body)
@@ -96,74 +101,74 @@
         key = objects.ObjectKey(request.path_params["kind"], name)
         return self._write(key, body["spec"], 0)
 
-    @server.route("PUT", _NAMED)
+    @server.route("PUT", _OBJECT_PATH)
     def replace_object(self, request: server.Request) -> Response:
-        """Replace an object, on its condition if there is one."""
+        """Replace an object, if it has the given revision (if any)."""
         body = msgspec.json.decode(request.body)
         key = _make_key(request)
-        held = self._store.get(key)
-        if held is None:
-            return _fail(http.HTTPStatus.NOT_FOUND)
-        revision = body["metadata"].get("revision", held.version)
+        current = self._store.get(key)
+        if current is None:
+            return _make_failure(http.HTTPStatus.NOT_FOUND)
+        revision = body["metadata"].get("revision", current.version)
         return self._write(key, body["spec"], revision)
 
-    @server.route("DELETE", _NAMED)
+    @server.route("DELETE", _OBJECT_PATH)
     def delete_object(self, request: server.Request) -> Response:
         """Remove an object."""
         key = _make_key(request)
-        held = self._store.get(key)
-        if held is None:
-            return _fail(http.HTTPStatus.NOT_FOUND)
-        self._store.write(key, b"", held.version)
-        self._tell()
-        return _answer(_show(held))
+        current = self._store.get(key)
+        if current is None:
+            return _make_failure(http.HTTPStatus.NOT_FOUND)
+        self._store.write(key, b"", current.version)
+        self._wake_watches()
+        return _make_answer(_encode_object(current))
 
     def _write(
         self, key: objects.ObjectKey, spec: typing.Any, expected: int
     ) -> Response:
-        failed = self._begin()
+        failed = self._apply_faults()
         if failed is not None:
             return failed
         value = msgspec.json.encode(spec)
-        held = self._store.get(key)
-        if held is not None and held.value == value and expected:
-            return _answer(_show(held))
-        done = self._store.write(key, value, expected)
-        if done is None:
-            if held is None:
-                return _fail(http.HTTPStatus.NOT_FOUND)
-            shown = _show(held)
-            return _answer(shown, http.HTTPStatus.CONFLICT)
-        self._tell()
+        current = self._store.get(key)
+        if current is not None and current.value == value and expected:
+            return _make_answer(_encode_object(current))
+        version = self._store.write(key, value, expected)
+        if version is None:
+            if current is None:
+                return _make_failure(http.HTTPStatus.NOT_FOUND)
+            conflicting = _encode_object(current)
+            return _make_answer(conflicting, http.HTTPStatus.CONFLICT)
+        self._wake_watches()
         if self._faults.lose_writes > 0:
             self._faults.lose_writes -= 1
-            return _fail(http.HTTPStatus.INTERNAL_SERVER_ERROR)
+            return _make_failure(http.HTTPStatus.INTERNAL_SERVER_ERROR)
         stored = self._store.get(key)
         assert stored is not None
-        return _answer(_show(stored))
+        return _make_answer(_encode_object(stored))
 
-    def _begin(self) -> Response | None:
-        """Wait as set; return the failure while the API is down."""
+    def _apply_faults(self) -> Response | None:
+        """Add the delay that is set; return a 503 while the API is down."""
         if self._faults.delay:
             eventlet.sleep(self._faults.delay)
         if self._faults.down:
-            return _fail(http.HTTPStatus.SERVICE_UNAVAILABLE)
+            return _make_failure(http.HTTPStatus.SERVICE_UNAVAILABLE)
         return None
 
-    def _tell(self) -> None:
+    def _wake_watches(self) -> None:
         changed, self._changed = self._changed, eventlet.event.Event()
         changed.send(None)
 
     @server.route("POST", r"/control/forget")
     def forget(self, request: server.Request) -> Response:
-        """Drop the history; watches from before it are told so."""
+        """Drop the history; watches from earlier revisions get a 410."""
         self._store.forget()
-        self._tell()
+        self._wake_watches()
         return Response(http.HTTPStatus.OK, ())
 
     @server.route("POST", r"/control/objectapi")
     def set_faults(self, request: server.Request) -> Response:
-        """Set how the API misbehaves."""
+        """Set the faults to inject."""
         self._faults = msgspec.json.decode(request.body, type=ObjectApiFaults)
         return Response(http.HTTPStatus.OK, ())
 
@@ -174,18 +179,18 @@
     )
 
 
-def _show(stored: objects.Stored) -> dict[str, typing.Any]:
+def _encode_object(stored: objects.Stored) -> dict[str, typing.Any]:
     metadata = {"name": stored.key.name, "revision": stored.version}
     spec = msgspec.Raw(stored.value or b"null")
     return {"metadata": metadata, "spec": spec}
 
 
-def _answer(
+def _make_answer(
     body: typing.Any, status: http.HTTPStatus = http.HTTPStatus.OK
 ) -> Response:
     headers = (("Content-Type", "application/json"),)
     return Response(status, headers, msgspec.json.encode(body))
 
 
-def _fail(status: http.HTTPStatus) -> Response:
+def _make_failure(status: http.HTTPStatus) -> Response:
     return Response(status, ())
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,10 +1,9 @@
-"""The platform: an object API with watches, and an instance list.
+"""A stand-in platform: an object API with watches, and an instance list.
 
-Objects have versions from one growing revision, updates are conditional
-and a deletion leaves nothing behind but its event. The instance list
-follows the truth with a lag: an instance is listed while its port took a
-connection within the last seconds. Faults can be set at
-``POST /control/faults``.
+Objects take their versions from one increasing revision, updates are
+conditional, and a deletion leaves only its event. The instance list lags
+behind: an instance stays listed until its port has accepted no connection
+for as long as the lag. Faults are set at ``POST /control/faults``.
 """
 
 import collections
@@ -32,16 +31,18 @@
 __all__ = ["Faults", "PlatformHandlers", "main"]
 
 Response = http_protocol.Response
+# Seconds between two connections to an instance's port, and for each.
 _CHECK_INTERVAL = 0.5
 _CHECK_TIMEOUT = 0.3
 
 
 class Faults(msgspec.Struct):
-    """How the platform misbehaves.
+    """Faults that the platform injects.
 
     Attributes:
-        down: Whether every call fails.
-        lose_writes: Writes to apply whose answer is then lost.
+        down: Whether every call is answered 503.
+        lose_writes: Number of writes to apply and then answer 500, as if
+            the answer were lost.
         delay: Seconds added to each answer.
     """
 
@@ -51,26 +52,30 @@
 
 
 class InstanceList:
-    """The list of live and leaving instances, with its lag."""
+    """The list of instances whose port accepts connections.
+
+    Args:
+        lag: Seconds that an instance which is gone stays listed.
+    """
 
     def __init__(self, lag: float) -> None:
         self._lag = lag
         self._known: dict[str, instances.Instance] = {}
         self._versions: dict[str, int] = {}
-        self._seen: dict[str, float] = {}
+        self._reached_at: dict[str, float] = {}
         self._listed: set[str] = set()
         self.revision = 0
 
     def put(self, instance: instances.Instance) -> None:
-        """Add an instance or change its line."""
+        """Add an instance or replace its entry."""
         self._known[instance.id] = instance
         if instance.id in self._listed:
-            self._bump(instance.id)
+            self._update_version(instance.id)
 
     def remove(self, name: str) -> None:
-        """Take an instance off."""
+        """Remove an instance."""
         self._known.pop(name, None)
-        self._drop(name)
+        self._unlist(name)
 
     def select(self) -> platform.Instances:
         """Return the list."""
@@ -81,14 +86,14 @@
         return platform.Instances(self.revision, found)
 
     def run(self) -> None:
-        """Look at the instances for ever."""
+        """Check the port of each instance periodically, without end."""
         while True:
             for instance in list(self._known.values()):
-                eventlet.spawn_n(self._check, instance)
+                eventlet.spawn_n(self._check_port, instance)
             self._expire(time.monotonic())
             eventlet.sleep(_CHECK_INTERVAL)
 
-    def _check(self, instance: instances.Instance) -> None:
+    def _check_port(self, instance: instances.Instance) -> None:
         address = settings.split_address(instance.address)
         try:
             socket.create_connection(address, _CHECK_TIMEOUT).close()
@@ -96,22 +101,22 @@
             return
         if instance.id not in self._known:
             return
-        self._seen[instance.id] = time.monotonic()
+        self._reached_at[instance.id] = time.monotonic()
         if instance.id not in self._listed:
             self._listed.add(instance.id)
-            self._bump(instance.id)
+            self._update_version(instance.id)
 
     def _expire(self, now: float) -> None:
         for name in list(self._listed):
-            if now - self._seen.get(name, 0.0) > self._lag:
-                self._drop(name)
+            if now - self._reached_at.get(name, 0.0) > self._lag:
+                self._unlist(name)
 
-    def _drop(self, name: str) -> None:
+    def _unlist(self, name: str) -> None:
         if name in self._listed:
             self._listed.discard(name)
             self.revision += 1
 
-    def _bump(self, name: str) -> None:
+    def _update_version(self, name: str) -> None:
         self.revision += 1
         self._versions[name] = self.revision
 
@@ -133,7 +138,7 @@
     @server.route("GET", r"/v1/objects")
     def list_objects(self, request: server.Request) -> Response:
         """Return all objects of some kinds."""
-        failed = self._begin("list")
+        failed = self._count_call("list")
         if failed is not None:
             return failed
         kinds = set(request.query["kinds"].split(","))
@@ -142,7 +147,7 @@
     @server.route("GET", r"/v1/objects/(?P<kind>[^/]+)/(?P<name>[^/]+)")
     def read_object(self, request: server.Request) -> Response:
         """Return one object."""
-        failed = self._begin("read")
+        failed = self._count_call("read")
         if failed is not None:
             return failed
         stored = self._store.get(_make_key(request))
@@ -153,17 +158,17 @@
 
     @server.route("PUT", r"/v1/objects/(?P<kind>[^/]+)/(?P<name>[^/]+)")
     def write_object(self, request: server.Request) -> Response:
-        """Store one object on its condition."""
+        """Store one object if it has the expected version."""
         return self._write(request, request.body)
 
     @server.route("DELETE", r"/v1/objects/(?P<kind>[^/]+)/(?P<name>[^/]+)")
     def delete_object(self, request: server.Request) -> Response:
-        """Delete one object on its condition."""
+        """Delete one object if it has the expected version."""
         return self._write(request, b"")
 
     def _write(self, request: server.Request, value: bytes) -> Response:
-        claim = request.path_params["kind"] == objects.Kind.CLAIMS.value
-        failed = self._begin("claim" if claim else "write")
+        is_claim = request.path_params["kind"] == objects.Kind.CLAIMS.value
+        failed = self._count_call("claim" if is_claim else "write")
         if failed is not None:
             return failed
         expected = int(request.query["expected"])
@@ -181,8 +186,8 @@
 
     @server.route("GET", r"/v1/watch")
     def watch_objects(self, request: server.Request) -> Response:
-        """Return changes after a revision, waiting for the first."""
-        failed = self._begin("watch")
+        """Return the changes after a revision (long poll)."""
+        failed = self._count_call("watch")
         if failed is not None:
             return failed
         kinds = set(request.query["kinds"].split(","))
@@ -192,10 +197,10 @@
             found = self._store.select_events(kinds, since)
             if found is None:
                 return Response(platform.GONE, ())
-            left = deadline - time.monotonic()
-            if found or left <= 0 or self._faults.down:
+            remaining = deadline - time.monotonic()
+            if found or remaining <= 0 or self._faults.down:
                 return self._make_listing(found)
-            with eventlet.Timeout(left, False):
+            with eventlet.Timeout(remaining, False):
                 self._changed.wait()
 
     def _make_listing(self, stored: list[objects.Stored]) -> Response:
@@ -207,7 +212,7 @@
     @server.route("GET", r"/v1/instances")
     def list_instances(self, request: server.Request) -> Response:
         """Return the instance list."""
-        failed = self._begin("instances")
+        failed = self._count_call("instances")
         if failed is not None:
             return failed
         if request.query.get("since") == str(self._listed.revision):
@@ -218,20 +223,20 @@
 
     @server.route("POST", r"/control/faults")
     def set_faults(self, request: server.Request) -> Response:
-        """Set how the platform misbehaves."""
+        """Set the faults to inject."""
         self._faults = msgspec.json.decode(request.body, type=Faults)
         return Response(http.HTTPStatus.OK, ())
 
     @server.route("PUT", r"/control/instances/(?P<name>[^/]+)")
     def put_instance(self, request: server.Request) -> Response:
-        """Add an instance or change its line."""
+        """Add an instance or replace its entry."""
         kind = instances.Instance
         self._listed.put(msgspec.json.decode(request.body, type=kind))
         return Response(http.HTTPStatus.OK, ())
 
     @server.route("DELETE", r"/control/instances/(?P<name>[^/]+)")
     def remove_instance(self, request: server.Request) -> Response:
-        """Take an instance off the list."""
+        """Remove an instance from the list."""
         self._listed.remove(request.path_params["name"])
         return Response(http.HTTPStatus.OK, ())
 
@@ -240,8 +245,8 @@
         """Return how often each kind of call was made."""
         return http_protocol.make_json(dict(self._calls))
 
-    def _begin(self, kind: str) -> Response | None:
-        """Count a call; return its failure while the platform is down."""
+    def _count_call(self, kind: str) -> Response | None:
+        """Count a call and apply the faults; return a 503 while down."""
         self._calls[kind] += 1
         if self._faults.delay:
             eventlet.sleep(self._faults.delay)
@@ -268,8 +273,10 @@
     """Run the stand-in platform."""
     listed = InstanceList(lag)
     kind = list[instances.Instance]
-    for one in msgspec.json.decode(instances_file.read_bytes(), type=kind):
-        listed.put(one)
+    for instance in msgspec.json.decode(
+        instances_file.read_bytes(), type=kind
+    ):
+        listed.put(instance)
     eventlet.spawn(listed.run)
     store = store_module.Store()
     process.serve(
--- a/standins/process.py
+++ b/standins/process.py
@@ -1,4 +1,4 @@
-"""What all stand-in processes share: start, address, stop."""
+"""Starts and stops the server of a stand-in process."""
 
 import signal
 import typing
@@ -10,11 +10,11 @@
 
 __all__ = ["serve"]
 
-_BODY_LIMIT = 16_777_216
+_BODY_LIMIT = 16_777_216  # bytes
 
 
 def serve(address: str, *handlers: server.Handlers) -> None:
-    """Serve handlers on ``host:port`` until a signal comes."""
+    """Serve handlers on ``host:port`` until SIGTERM or SIGINT."""
     parsed = settings.split_address(address)
     if parsed is None:
         raise SystemExit(f"expected HOST:PORT, got {address!r}")
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,4 +1,4 @@
-"""A plain service instance: answers calls and counts how often each ran."""
+"""A stand-in service instance that counts how often each call ran."""
 
 import collections
 import http
@@ -22,11 +22,11 @@
 
 
 class Faults(msgspec.Struct):
-    """How the service misbehaves.
+    """Faults that the service injects.
 
     Attributes:
-        work_time: Seconds each call takes.
-        refuse: Whether calls are refused before they run.
+        work_time: Seconds that each call takes.
+        refuse: Whether calls are refused with a 429 and not run.
     """
 
     work_time: float = 0.0
@@ -57,18 +57,18 @@
 
     @server.route("GET", r"/control/runs")
     def show_runs(self, request: server.Request) -> Response:
-        """Return how often each body was run."""
+        """Return how often a call with each body was run."""
         return http_protocol.make_json(dict(self._runs))
 
     @server.route("POST", r"/control/faults")
     def set_faults(self, request: server.Request) -> Response:
-        """Set how the service misbehaves."""
+        """Set the faults to inject."""
         self._faults = msgspec.json.decode(request.body, type=Faults)
         return Response(http.HTTPStatus.OK, ())
 
     @server.route("POST", r"/(?!control/).*")
     def run(self, request: server.Request) -> Response:
-        """Run a call."""
+        """Run a call and return how often its body has been run."""
         if self._faults.refuse:
             return Response(http.HTTPStatus.TOO_MANY_REQUESTS, ())
         text = request.body.decode("utf-8", "replace")
--- a/standins/sites.py
+++ b/standins/sites.py
@@ -1,4 +1,4 @@
-"""Small sites on the virtual clock, for tests and benches."""
+"""Small simulated sites in virtual time, for tests and benches."""
 
 from collections import abc
 
@@ -29,7 +29,7 @@
     "store_profile",
 ]
 
-_TEXT = """
+_SETTINGS_TEXT = """
 [node]
 id = {id}
 datacentre = {datacentre}
@@ -47,7 +47,14 @@
 
 
 class DomainSpec(msgspec.Struct, frozen=True, kw_only=True):
-    """Engine instances of one fabric domain."""
+    """The engine instances of one fabric domain.
+
+    Attributes:
+        engines: Number of instances.
+        accelerators: Accelerators of each instance.
+        checks_epoch: Whether an order with an old epoch is refused.
+        load_time: Seconds that a model load takes.
+    """
 
     name: str
     datacentre: str
@@ -61,7 +68,7 @@
     name: str, datacentre: str, extra: str = ""
 ) -> settings_module.Settings:
     """Return the settings of an entry process; `extra` is INI text."""
-    text = _TEXT.format(id=name, datacentre=datacentre) + extra
+    text = _SETTINGS_TEXT.format(id=name, datacentre=datacentre) + extra
     outcome = settings_module.parse_settings(text, f"{name}.ini")
     if isinstance(outcome, result.Err):
         raise ValueError(str(outcome.err_value))
@@ -114,13 +121,14 @@
     Args:
         entries: Data centre of each entry process.
         domains: The fabric domains.
-        seed: Seed of all randomness.
+        seed: Seed of the world's random numbers.
         extra: INI text added to each entry's settings.
-        policy: How broken replicas are mended.
-        tracing: Whether hosts keep what they were told and did.
-        weight_store: Where the engines load from; each has its own time
-            to load when there is none.
-        start_time: Seconds that a new replica generation needs to start.
+        policy: Name of the policy by which broken replicas are repaired.
+        tracing: Whether hosts record their messages and actions.
+        weight_store: The store that all engines load from; None when each
+            loads in its domain's load time.
+        start_time: Seconds that a new replica generation needs to start
+            once it has loaded.
     """
     world = virtual.World(seed, tracing)
     world.weight_store = weight_store
@@ -133,33 +141,36 @@
 
 
 def parse(text: str) -> profile.Profile:
-    """Return the one profile an INI text describes."""
+    """Return the first profile of an INI text."""
     outcome = profile.parse_profiles(text, "profiles.ini")
     if isinstance(outcome, result.Err):
         raise ValueError(str(outcome.err_value))
     return outcome.ok_value[0]
 
 
-def _key(name: str) -> objects.ObjectKey:
+def _make_key(name: str) -> objects.ObjectKey:
     return objects.ObjectKey(objects.Kind.PROFILES.value, name)
 
 
 def put_profile(
     host: virtual.Host, wanted: profile.Profile, ticket: int = 1
 ) -> None:
-    """Ask an entry to store a profile; the reply comes to the ticket."""
-    key = _key(wanted.name)
+    """Ask an entry to store a profile.
+
+    The answer arrives in `host.replies` under the ticket.
+    """
+    key = _make_key(wanted.name)
     expected = host.node.view.get_expected_version(key)
     value = objects.encode(wanted)
     host.tell(edits.EditRequested(ticket, key, value, expected))
 
 
 def store_profile(world: virtual.World, wanted: profile.Profile) -> None:
-    """Put a profile into the platform and on every entry at once."""
-    key = _key(wanted.name)
-    held = world.platform.store.get(key)
+    """Store a profile and pass it to every entry, without any delay."""
+    key = _make_key(wanted.name)
+    current = world.platform.store.get(key)
     value = objects.encode(wanted)
-    expected = held.version if held else 0
+    expected = current.version if current else 0
     version = world.platform.store.write(key, value, expected)
     assert version is not None
     stored = objects.Stored(key, ids.Version(version), value)
@@ -170,7 +181,7 @@
 def ask(
     host: virtual.Host, request: routing.RouteRequested
 ) -> routing.Route | routing.Refusal:
-    """Return where an entry would send an attempt."""
+    """Return the route that an entry chooses, or its refusal."""
     host.tell(request)
     answer = host.replies.pop(request.ticket)
     assert isinstance(answer, routing.Route | routing.Refusal)
@@ -180,7 +191,7 @@
 def route(
     host: virtual.Host, profile_name: str, ticket: int = 900
 ) -> routing.Route | routing.Refusal:
-    """Return where an entry sends one request of a profile; ends it."""
+    """Return the route of one request for a profile, and end its attempt."""
     attempt = ids.AttemptId(f"{host.name}.test.{ticket}")
     request = routing.RouteRequested(
         ticket=ticket,
--- a/standins/store.py
+++ b/standins/store.py
@@ -1,4 +1,4 @@
-"""Objects with versions and conditional updates, in memory."""
+"""An in-memory object store with versions and conditional writes."""
 
 import collections
 
@@ -6,14 +6,14 @@
 
 __all__ = ["Store"]
 
-_EVENTS_LIMIT = 10_000
+_EVENTS_LIMIT = 10_000  # events kept for watches
 
 
 class Store:
-    """Objects, their versions and the events of their changes.
+    """Objects, their versions and the latest events of their changes.
 
-    Versions come from one growing revision; a deletion leaves nothing
-    behind but its event.
+    Versions are taken from one increasing revision. A deletion leaves only
+    its event, which has an empty value.
     """
 
     def __init__(self) -> None:
@@ -22,20 +22,30 @@
         self._events: collections.deque[objects.Stored] = collections.deque(
             maxlen=_EVENTS_LIMIT
         )
-        self._first_event = 0
+        # Version of the newest event that is no longer kept.
+        self._last_dropped = 0
 
     def get(self, key: objects.ObjectKey) -> objects.Stored | None:
-        """Return the object, None when there is none."""
+        """Return the object, or None when there is none."""
         return self._objects.get(key)
 
     def write(
         self, key: objects.ObjectKey, value: bytes, expected: int
     ) -> int | None:
-        """Return the new version, None when the condition failed."""
-        held = self._objects.get(key)
-        if (held.version if held else 0) != expected:
+        """Write an object if it has the expected version.
+
+        Args:
+            key: The object.
+            value: Its new value; empty deletes it.
+            expected: Its current version, 0 for an object to be created.
+
+        Returns:
+            The new version, or None when the condition failed.
+        """
+        current = self._objects.get(key)
+        if (current.version if current else 0) != expected:
             return None
-        if held is None and not value:
+        if current is None and not value:
             return None
         self.revision += 1
         stored = objects.Stored(key, self.revision, value)
@@ -44,14 +54,14 @@
         else:
             del self._objects[key]
         if len(self._events) == _EVENTS_LIMIT:
-            self._first_event = self._events[0].version
+            self._last_dropped = self._events[0].version
         self._events.append(stored)
         return self.revision
 
     def forget(self) -> None:
-        """Drop the events of all changes so far."""
+        """Drop the events of all changes so far, as a compaction does."""
         self._events.clear()
-        self._first_event = self.revision
+        self._last_dropped = self.revision
 
     def select(self, kinds: set[str]) -> list[objects.Stored]:
         """Return all objects of some kinds."""
@@ -64,8 +74,12 @@
     def select_events(
         self, kinds: set[str], since: int
     ) -> list[objects.Stored] | None:
-        """Return the changes after a revision, None when forgotten."""
-        if since < self._first_event or since > self.revision:
+        """Return the changes after a revision, oldest first.
+
+        None when the events after it are no longer kept, or when the
+        revision is newer than the store's.
+        """
+        if since < self._last_dropped or since > self.revision:
             return None
         found: list[objects.Stored] = []
         for stored in reversed(self._events):
--- a/standins/surge.py
+++ b/standins/surge.py
@@ -1,9 +1,10 @@
-"""Many gateways before the same replicas, in virtual time.
+"""Simulation in virtual time of many gateways that share replicas.
 
-The gateways' real decisions; replicas work on so many requests at once,
-take the next by rank and write for a time that is drawn; what gateways
-tell each other arrives late. Requests come in an open loop: callers do
-not slow down because answers are late.
+The gateways place requests with the product's own code. Simulated replicas
+run a limited number of requests at once, take the next one by rank and
+run it for a random time. Gateways learn of each other's loads only at
+intervals. The load is an open loop: callers do not slow down when answers
+are late.
 """
 
 from collections import abc
@@ -45,23 +46,29 @@
     answer=152,
 )
 ENGINE = routes.Engine(slots=13, models=(MODEL,), timing=TIMING)
-# Seconds to the first event that are on time, and that callers bear.
+# Seconds to the first event within which a request is in time, and after
+# which its caller leaves.
 TARGET = 0.4
-_BORNE = 2.0
-# Seconds between two heartbeats, at rest and while replicas are full.
-_TOLD = 0.4
-_TOLD_PRESSED = 0.12
-# Seconds of a run with its first event at the start, and until then.
-_FIRST = 0.12
-_LASTS = 1.2
-# Part of its slots above which a replica counts as nearly full.
-_PRESSED = 0.75
+_CALLER_TIMEOUT = 2.0
+# Seconds between two heartbeats, usually and while a replica is nearly
+# full.
+_HEARTBEAT_INTERVAL = 0.4
+_HIGH_LOAD_INTERVAL = 0.12
+# Seconds from the start of a run to its first event, and to its end on
+# average.
+_FIRST_EVENT_TIME = 0.12
+_MEAN_RUN_TIME = 1.2
+# Share of its slots above which a replica counts as nearly full.
+_HIGH_LOAD_SHARE = 0.75
 
 
 def make_ticket(
     name: str, arrived: float = 0.0, **fields: typing.Any
 ) -> backlog.Ticket:
-    """Return a request that came at a time."""
+    """Return the ticket of a request that arrived at a time in seconds.
+
+    Other fields of the ticket can be given by name.
+    """
     ticket = backlog.Ticket(
         request=name,
         kind=KIND,
@@ -69,7 +76,7 @@
         gap=0.25,
         arrived=arrived,
         objective=arrived + TARGET,
-        start_deadline=arrived + _BORNE,
+        start_deadline=arrived + _CALLER_TIMEOUT,
     )
     return msgspec.structs.replace(ticket, **fields)
 
@@ -88,23 +95,26 @@
 
 
 class Policy(enum.Enum):
-    """What is done with a request that comes."""
+    """How a gateway treats an arriving request."""
 
-    # Sent at once to the better of two replicas that are drawn.
+    # Sent at once to the less loaded of two random replicas.
     AT_ONCE = "at_once"
-    # Sent when a replica has room, by what its gateway has heard.
+    # Queued until a replica has room, by the loads known to its gateway.
     WAITS = "waits"
-    # The same where one gateway takes all requests and knows everything.
+    # As WAITS, with one gateway that takes all requests and so knows the
+    # loads exactly.
     ALL_KNOWN = "all_known"
 
 
 class Surge(msgspec.Struct, frozen=True, kw_only=True):
-    """A load that is higher for a while.
+    """A load that is higher for a while; times in seconds.
 
     Attributes:
         rate: Requests a second at the usual load.
-        factor: How many times as many come from `begin` to `end`.
-        seconds: Length of the run.
+        factor: Factor of the rate from `begin` to `end`.
+        begin: Start of the higher load.
+        end: End of the higher load.
+        seconds: Time during which requests arrive.
     """
 
     rate: float
@@ -126,65 +136,77 @@
     ) -> None:
         if policy is Policy.ALL_KNOWN:
             gateways = 1
-        self._waits = policy is not Policy.AT_ONCE
-        self._chance = random.Random(seed)
+        self._is_queueing = policy is not Policy.AT_ONCE
+        self._random = random.Random(seed)
         fleet = upstreams.Fleet()
         fleet.replace([make_leader(n) for n in range(replicas)], 1, 0)
-        place = ids.DatacentreName("here")
+        datacentre = ids.DatacentreName("here")
         self._balancers = [
-            balancing.Balancer(fleet, place) for _ in range(gateways)
+            balancing.Balancer(fleet, datacentre) for _ in range(gateways)
         ]
         self._placers = [placing.Placer(one) for one in self._balancers]
-        self._working = {f"i{n}": 0 for n in range(replicas)}
-        self._queues: dict[str, list[_Sent]] = {
-            name: [] for name in self._working
+        self._running = {f"i{n}": 0 for n in range(replicas)}
+        self._queues: dict[str, list[_QueuedRequest]] = {
+            name: [] for name in self._running
         }
         self._events: list[typing.Any] = []
-        self._count = 0
-        self._last = 0.0
-        # Arrivals, and the seconds to the first event of those that began.
+        self._event_count = 0
+        self._last_departure = 0.0
+        # Arrival times of all requests; arrival times and seconds to the
+        # first event of those that were started.
         self.arrivals: list[float] = []
         self.firsts: list[tuple[float, float]] = []
         self.refused: list[placing.Refusal] = []
 
     def run(self, surge: Surge) -> None:
-        """Play a load to its end."""
-        self._last = surge.seconds + _BORNE
+        """Simulate a load to its end."""
+        self._last_departure = surge.seconds + _CALLER_TIMEOUT
         at = 0.0
         while at < surge.seconds:
             high = surge.begin <= at < surge.end
             rate = surge.rate * surge.factor if high else surge.rate
-            at += self._chance.expovariate(rate)
-            node = self._chance.randrange(len(self._placers))
-            self._plan(at, self._arrive, node, f"r{self._count}")
+            at += self._random.expovariate(rate)
+            node = self._random.randrange(len(self._placers))
+            self._schedule(
+                at, self._handle_arrival, node, f"r{self._event_count}"
+            )
         for node in range(len(self._placers)):
-            self._plan(self._chance.uniform(0, _TOLD), self._tell, node)
-            if self._waits:
-                self._plan(placing.TICK, self._tick, node)
+            self._schedule(
+                self._random.uniform(0, _HEARTBEAT_INTERVAL),
+                self._send_loads,
+                node,
+            )
+            if self._is_queueing:
+                self._schedule(placing.TICK, self._tick, node)
         while self._events:
-            now, _, act, words = heapq.heappop(self._events)
-            act(now, *words)
+            now, _, callback, arguments = heapq.heappop(self._events)
+            callback(now, *arguments)
 
     def share_in_time(self, begin: float, end: float) -> float:
-        """Return the part of the requests of a time that were in time."""
-        came = sum(begin <= at < end for at in self.arrivals)
-        good = sum(
+        """Return the share of a period's requests that were in time."""
+        arrived_count = sum(begin <= at < end for at in self.arrivals)
+        in_time_count = sum(
             first <= TARGET for at, first in self.firsts if begin <= at < end
         )
-        return good / max(came, 1)
+        return in_time_count / max(arrived_count, 1)
 
-    def _plan(
-        self, at: float, act: abc.Callable[..., None], *words: typing.Any
+    def _schedule(
+        self,
+        at: float,
+        callback: abc.Callable[..., None],
+        *arguments: typing.Any,
     ) -> None:
-        self._count += 1
-        heapq.heappush(self._events, (at, self._count, act, words))
+        self._event_count += 1
+        heapq.heappush(
+            self._events, (at, self._event_count, callback, arguments)
+        )
 
     # -- Gateways
 
-    def _arrive(self, now: float, node: int, request: str) -> None:
+    def _handle_arrival(self, now: float, node: int, request: str) -> None:
         self.arrivals.append(now)
         ticket = make_ticket(request, now)
-        if not self._waits:
+        if not self._is_queueing:
             found = self._balancers[node].choose(
                 SERVICE, MODEL.name, (), request, now
             )
@@ -192,9 +214,9 @@
             self._balancers[node].begin(found.id)
             self._send(now, node, placing.Placement(ticket, found, True))
             return
-        asked = self._placers[node].try_place(ticket, now)
-        if isinstance(asked, placing.Placement):
-            self._send(now, node, asked)
+        placed = self._placers[node].try_place(ticket, now)
+        if isinstance(placed, placing.Placement):
+            self._send(now, node, placed)
         else:
             self._placers[node].add(ticket)
 
@@ -204,18 +226,22 @@
             self.refused += placer.turn_away(kind, now)
             for placement in placer.fill(kind, now):
                 self._send(now, node, placement)
-        if now < self._last:
-            self._plan(now + placing.TICK, self._tick, node)
+        if now < self._last_departure:
+            self._schedule(now + placing.TICK, self._tick, node)
 
-    def _tell(self, now: float, node: int) -> None:
+    def _send_loads(self, now: float, node: int) -> None:
         loads = self._balancers[node].list_loads(now)
         for number, balancer in enumerate(self._balancers):
             if number != node:
                 balancer.note_loads(ids.NodeId(f"n{node}"), loads, now)
-        pressed = max(self._working.values()) > _PRESSED * ENGINE.slots
-        wait = _TOLD_PRESSED if self._waits and pressed else _TOLD
-        if now < self._last:
-            self._plan(now + wait, self._tell, node)
+        is_high = max(self._running.values()) > _HIGH_LOAD_SHARE * ENGINE.slots
+        wait = (
+            _HIGH_LOAD_INTERVAL
+            if self._is_queueing and is_high
+            else _HEARTBEAT_INTERVAL
+        )
+        if now < self._last_departure:
+            self._schedule(now + wait, self._send_loads, node)
 
     # -- Replicas
 
@@ -225,37 +251,46 @@
         replica = placement.upstream.id
         ticket = placement.ticket
         rank = 0 if placement.in_time else 1
-        entry = _Sent(rank, now, ticket.request, node, ticket.arrived)
+        entry = _QueuedRequest(rank, now, ticket.request, node, ticket.arrived)
         heapq.heappush(self._queues[replica], entry)
-        self._begin(now, replica)
-
-    def _begin(self, now: float, replica: str) -> None:
-        waiting = self._queues[replica]
-        while waiting and self._working[replica] < ENGINE.slots:
-            sent = heapq.heappop(waiting)
-            if now > sent.arrived + _BORNE:
-                # Its caller has left.
-                self._balancers[sent.node].end(ids.InstanceId(replica))
+        self._start_runs(now, replica)
+
+    def _start_runs(self, now: float, replica: str) -> None:
+        queue = self._queues[replica]
+        while queue and self._running[replica] < ENGINE.slots:
+            queued = heapq.heappop(queue)
+            if now > queued.arrived + _CALLER_TIMEOUT:
+                # The caller has left.
+                self._balancers[queued.node].end(ids.InstanceId(replica))
                 continue
-            self._working[replica] += 1
-            begins = now + _FIRST
-            self.firsts.append((sent.arrived, begins - sent.arrived))
-            backlog_ = self._placers[sent.node].backlog
-            backlog_.note_first(KIND, begins - sent.at)
-            lasts = self._chance.uniform(0.5, 1.5) * _LASTS
-            self._plan(now + lasts, self._end, sent.node, replica)
-
-    def _end(self, now: float, node: int, replica: str) -> None:
-        self._working[replica] -= 1
+            self._running[replica] += 1
+            first_at = now + _FIRST_EVENT_TIME
+            self.firsts.append((queued.arrived, first_at - queued.arrived))
+            backlog_ = self._placers[queued.node].backlog
+            backlog_.note_first(KIND, first_at - queued.at)
+            run_time = self._random.uniform(0.5, 1.5) * _MEAN_RUN_TIME
+            self._schedule(
+                now + run_time, self._finish_run, queued.node, replica
+            )
+
+    def _finish_run(self, now: float, node: int, replica: str) -> None:
+        self._running[replica] -= 1
         self._balancers[node].end(ids.InstanceId(replica))
-        if self._waits:
+        if self._is_queueing:
             for placement in self._placers[node].replace_ended(now):
                 self._send(now, node, placement)
-        self._begin(now, replica)
+        self._start_runs(now, replica)
 
 
-class _Sent(msgspec.Struct, frozen=True, order=True):
-    """A request in the queue of a replica, in the order it is taken."""
+class _QueuedRequest(msgspec.Struct, frozen=True, order=True):
+    """A request in the queue of a replica; sorts as the replica takes it.
+
+    Attributes:
+        rank: 0 for a request that can be in time, 1 for a late one.
+        at: When the gateway sent it.
+        node: Number of the gateway.
+        arrived: When it arrived at the gateway.
+    """
 
     rank: int
     at: float
--- a/standins/upstream.py
+++ b/standins/upstream.py
@@ -1,13 +1,22 @@
-"""A server of the users' platform: plain service or model engine.
-
-It registers itself in the store, obeys orders as engines do and answers
-requests. How it misbehaves is asked for in the request's path, so a test
-reads in one place what happens: ``/hang/``, ``/hang-ID/`` (at one),
-``/reset3/`` (after three events, unless resumed), ``/unframed/``,
-``/slow/`` (half a second between events), ``/torn/``, ``/busy/``, ``/error/``,
-``/mute/`` (not signed). What it ran is
-told at ``/control/runs``, and written with each change of its seat to a
-file where one is given, which outlives the process.
+"""A stand-in server of the users' platform: plain service or engine.
+
+It registers itself in the store, applies orders as engines do and answers
+requests. A request selects a fault by its path, so that a test shows it in
+one place:
+
+    /hang/, /hang-ID/  no answer for 30 s; only from the server ID
+    /reset3/           the stream is reset after three events, unless it is
+                       a resumed one
+    /slow/             half a second between the events of a stream
+    /unframed/         an answer without a length, ended by the close
+    /torn/             as unframed, reset in the middle
+    /busy/             refused before it runs
+    /error/            status 500
+    /mute/             an answer without the server's signature
+
+``/control/runs`` returns the requests that it ran. If a record file is
+given, runs and changes of the server's seat are appended to it too, and
+can be read when the process has died.
 """
 
 from collections import abc
@@ -29,19 +38,26 @@
 
 __all__ = ["main"]
 
-_RESET = re.compile(r"/reset(\d+)/")
-_HEARTBEAT = 0.3
-_EVENTS = 6
+_RESET_PATH = re.compile(r"/reset(\d+)/")
+# Seconds between two writes of the server's entry.
+_HEARTBEAT_INTERVAL = 0.3
+# Events of a stream, and seconds between two of them.
+_EVENT_COUNT = 6
 _EVENT_GAP = 0.02
 _SLOW_GAP = 0.5
-# Seconds a join takes, with and without the weights on the host.
-_WARM = 0.1
-_LOAD = 0.5
+# Seconds that a join takes with the weights staged, and without; staging
+# takes as long as the latter.
+_WARM_JOIN_TIME = 0.1
+_LOAD_TIME = 0.5
 Reply = ingress.Reply
 
 
 class _Upstream:
-    """One server."""
+    """One server instance.
+
+    Attributes:
+        state: The state in its entry: ready or draining.
+    """
 
     def __init__(
         self,
@@ -61,36 +77,38 @@
         self._datacentre = datacentre
         self._domain = domain
         self._staged = [staged] if staged else []
-        self._born = int(time.time() * 1000)
-        self._orders = 0
-        self._beats = 0
+        self._started_ms = int(time.time() * 1000)
+        self._order_count = 0
+        self._heartbeat_count = 0
         self._group: dict[str, typing.Any] | None = None
         self._runs: list[dict[str, typing.Any]] = []
         self.state = "ready"
-        self._record = -1
+        self._record_file = -1
         if record:
             flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND
-            self._record = os.open(record, flags, 0o644)
-        self._note("start")
+            self._record_file = os.open(record, flags, 0o644)
+        self._write_record("start")
 
-    def _note(self, what: str, **fields: typing.Any) -> None:
-        """Write one line to the record, at once and whole."""
-        if self._record < 0:
+    def _write_record(self, event: str, **fields: typing.Any) -> None:
+        """Append one line to the record file in a single write."""
+        if self._record_file < 0:
             return
-        line = {"at": time.monotonic(), "what": what, **fields}
-        os.write(self._record, msgspec.json.encode(line) + b"\n")
+        line = {"at": time.monotonic(), "what": event, **fields}
+        os.write(self._record_file, msgspec.json.encode(line) + b"\n")
 
-    def _note_seat(self) -> None:
-        self._note("seat", seat=dict(self._group) if self._group else None)
+    def _record_seat(self) -> None:
+        self._write_record(
+            "seat", seat=dict(self._group) if self._group else None
+        )
 
     # -- Registration
 
     def run(self) -> None:
-        """Write the entry for ever."""
+        """Write the server's entry to the store at intervals, without end."""
         pool = urllib3.PoolManager(retries=False)
         base = f"http://{self._store}/currantwall/objects/servers"
         while True:
-            self._beats += 1
+            self._heartbeat_count += 1
             body = {"metadata": {"name": self._id}, "spec": self._describe()}
             data = msgspec.json.encode(body)
             try:
@@ -98,36 +116,37 @@
                 if response.status == 404:
                     pool.request("POST", base, body=data)
             except (urllib3.exceptions.HTTPError, OSError):
-                # The store is away; the next heartbeat tells the same.
+                # The store is unreachable; the next heartbeat writes a
+                # newer entry.
                 eventlet.sleep(0)
-            eventlet.sleep(_HEARTBEAT)
+            eventlet.sleep(_HEARTBEAT_INTERVAL)
 
     def _describe(self) -> dict[str, typing.Any]:
-        found: dict[str, typing.Any] = {
+        entry: dict[str, typing.Any] = {
             "service": self._service,
             "address": self._address,
             "zone": self._datacentre,
             "slots": 4,
             "state": self.state,
-            "seq": self._beats,
-            "born": self._born,
+            "seq": self._heartbeat_count,
+            "born": self._started_ms,
         }
         if self._domain:
-            found["domain"] = self._domain
-            found["staged"] = self._staged
-            found["group"] = self._group
-        return found
+            entry["domain"] = self._domain
+            entry["staged"] = self._staged
+            entry["group"] = self._group
+        return entry
 
     # -- Requests
 
     def serve(self, inbound: ingress.Inbound) -> Reply:
-        """Answer a request, an order or a question."""
+        """Answer a request, an order, a probe or a control call."""
         path = inbound.path
         if path == "/control/runs":
             return _answer_json(200, self._runs)
         if path == "/control/drain":
             self.state = "draining"
-            self._note("drain")
+            self._write_record("drain")
             return _answer_json(200, {})
         expected = inbound.headers.get("X-Expect-Instance", self._id)
         if expected != self._id:
@@ -135,17 +154,17 @@
                 status=421, headers=[("X-Not-Executed", "1")], body=b""
             )
         if path == "/currantwall/report":
-            report = {"seq": self._orders, "staged": self._staged}
+            report = {"seq": self._order_count, "staged": self._staged}
             report |= {"domain": self._domain, "group": self._group}
             return _answer_json(200, report)
         if path == "/currantwall/order":
-            return self._obey(msgspec.json.decode(inbound.body))
-        return self._run(inbound)
+            return self._handle_order(msgspec.json.decode(inbound.body))
+        return self._run_request(inbound)
 
-    def _run(self, inbound: ingress.Inbound) -> Reply:
+    def _run_request(self, inbound: ingress.Inbound) -> Reply:
         attempt = inbound.headers.get("X-Attempt-Id", "")
-        open_ = self._group is not None and self._group["state"] == "open"
-        if "/busy/" in inbound.path or (self._domain and not open_):
+        is_open = self._group is not None and self._group["state"] == "open"
+        if "/busy/" in inbound.path or (self._domain and not is_open):
             headers = [("X-Not-Executed", "1"), ("X-Attempt-Id", attempt)]
             return Reply(status=503, headers=headers, body=b"")
         run = {
@@ -160,7 +179,7 @@
             "members": self._group["members"] if self._group else [],
         }
         self._runs.append(run)
-        self._note("run", run=run, seat=self._group)
+        self._write_record("run", run=run, seat=self._group)
         if "/hang/" in inbound.path or f"/hang-{self._id}/" in inbound.path:
             eventlet.sleep(30.0)
         headers = [("X-Attempt-Id", attempt)]
@@ -179,77 +198,80 @@
         status = 500 if "/error/" in inbound.path else 200
         body = f"{inbound.method} {inbound.target} ".encode() + inbound.body
         if "/unframed/" in inbound.path or "/torn/" in inbound.path:
-            self._write_past(inbound, headers, body)
+            self._write_unframed(inbound, headers, body)
         return Reply(status=status, headers=headers, body=body)
 
-    def _write_past(
+    def _write_unframed(
         self,
         inbound: ingress.Inbound,
         headers: list[tuple[str, str]],
         body: bytes,
     ) -> typing.NoReturn:
-        """Write an answer without a length that its end or a reset ends."""
+        """Write an answer without a length, ended by a close or a reset."""
         client = inbound.client
         lines = "".join(f"{name}: {value}\r\n" for name, value in headers)
         head = f"HTTP/1.1 200 OK\r\n{lines}\r\n".encode()
         client.sendall(head + body[:5])
         if "/torn/" in inbound.path:
-            _reset(client)
+            _reset_connection(client)
         client.sendall(body[5:])
         client.shutdown(socket.SHUT_RDWR)
-        raise ConnectionAbortedError("written past the server")
+        raise ConnectionAbortedError("answer written without the server")
 
     def _stream(
         self, inbound: ingress.Inbound, run: dict[str, typing.Any]
     ) -> abc.Iterator[bytes]:
-        """Yield events; the run tells how many were made."""
+        """Yield events; the run's `events` is the last one's number."""
         attempt = inbound.headers.get("X-Attempt-Id", "")
         first = int(inbound.headers.get("Last-Event-Id", "0")) + 1
-        match = _RESET.search(inbound.path)
-        for number in range(first, _EVENTS + 1):
-            breaks = match is not None and number == int(match[1]) + 1
-            if breaks and first == 1:
+        match = _RESET_PATH.search(inbound.path)
+        for number in range(first, _EVENT_COUNT + 1):
+            is_reset = match is not None and number == int(match[1]) + 1
+            if is_reset and first == 1:
                 yield b"id: 9"
-                _reset(inbound.client)
-            slow = "/slow/" in inbound.path and number > first
-            eventlet.sleep(_SLOW_GAP if slow else _EVENT_GAP)
+                _reset_connection(inbound.client)
+            is_slow = "/slow/" in inbound.path and number > first
+            eventlet.sleep(_SLOW_GAP if is_slow else _EVENT_GAP)
             run["events"] = number
             yield f"id: {number}\ndata: {attempt} {number}\n\n".encode()
 
     # -- Orders
 
-    def _obey(self, order: dict[str, typing.Any]) -> Reply:
-        if order.get("precondition", self._orders) != self._orders:
+    def _handle_order(self, order: dict[str, typing.Any]) -> Reply:
+        if order.get("precondition", self._order_count) != self._order_count:
             return _answer_json(409, {})
-        status = self._carry_out(order)
+        status = self._apply_order(order)
         if status == 202:
-            self._orders += 1
+            self._order_count += 1
         return _answer_json(status, {})
 
-    def _carry_out(self, order: dict[str, typing.Any]) -> int:
-        what = order["operation"]
-        if what == "stage":
-            eventlet.spawn_after(_LOAD, self._stage, order["model"])
+    def _apply_order(self, order: dict[str, typing.Any]) -> int:
+        operation = order["operation"]
+        if operation == "stage":
+            eventlet.spawn_after(_LOAD_TIME, self._stage, order["model"])
             return 202
-        if what == "join":
+        if operation == "join":
             self._join(order)
             return 202
         group = self._group
-        mine = group is not None and (group["name"], group["epoch"]) == (
+        is_current_group = group is not None and (
+            group["name"],
+            group["epoch"],
+        ) == (
             order["group"],
             order["epoch"],
         )
-        if not mine or group is None:
+        if not is_current_group or group is None:
             return 409
-        if what == "leave":
+        if operation == "leave":
             self._group = None
-        elif what == "open":
+        elif operation == "open":
             if group["state"] != "ready" or group["rank"]:
                 return 409
             group["state"] = "open"
-        elif what == "close":
+        elif operation == "close":
             group["state"] = "ready"
-        self._note_seat()
+        self._record_seat()
         return 202
 
     def _stage(self, model: str) -> None:
@@ -261,23 +283,25 @@
         group |= {"rank": rank, "state": "joining"}
         group["members"] = order["members"]
         self._group = group
-        self._note_seat()
+        self._record_seat()
         staged = order["model"] in self._staged
-        eventlet.spawn_after(_WARM if staged else _LOAD, self._end_join, group)
+        eventlet.spawn_after(
+            _WARM_JOIN_TIME if staged else _LOAD_TIME, self._end_join, group
+        )
 
     def _end_join(self, group: dict[str, typing.Any]) -> None:
         if self._group is group and group["state"] == "joining":
             group["state"] = "ready"
-            self._note_seat()
+            self._record_seat()
 
 
-def _reset(client: typing.Any) -> typing.NoReturn:
-    """Reset a connection."""
+def _reset_connection(client: typing.Any) -> typing.NoReturn:
+    """Close a connection with a TCP reset, and end its handler."""
     linger = struct.pack("ii", 1, 0)
     client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
     raw = getattr(client, "fd", client)
     raw.close()
-    raise ConnectionAbortedError("reset on purpose")
+    raise ConnectionAbortedError("connection reset by the stand-in")
 
 
 def _answer_json(status: int, body: typing.Any) -> Reply:
@@ -289,21 +313,21 @@
 
 def _serve(
     address: typing.Annotated[str, typer.Option(help="HOST:PORT")],
-    instance: typing.Annotated[str, typer.Option(help="Its id.")],
+    instance: typing.Annotated[str, typer.Option(help="Instance id.")],
     store: typing.Annotated[str, typer.Option(help="HOST:PORT")],
-    service: typing.Annotated[str, typer.Option(help="Its service.")],
+    service: typing.Annotated[str, typer.Option(help="Service name.")],
     datacentre: str = "a",
     domain: str = "",
     staged: str = "",
     advertised: typing.Annotated[
-        str, typer.Option(help="HOST:PORT that it registers, if another.")
+        str, typer.Option(help="HOST:PORT to register, if not the address.")
     ] = "",
     record: typing.Annotated[
-        str, typer.Option(help="File for what it runs and which seat it has.")
+        str, typer.Option(help="File to append runs and seat changes to.")
     ] = "",
 ) -> None:
     """Run one stand-in server."""
-    one = _Upstream(
+    server = _Upstream(
         instance,
         advertised or address,
         store,
@@ -313,8 +337,10 @@
         staged,
         record,
     )
-    shared = ingress.Ingress(one.serve, routes.Limits, timers.TimerService.now)
-    eventlet.spawn(one.run)
+    shared = ingress.Ingress(
+        server.serve, routes.Limits, timers.TimerService.now
+    )
+    eventlet.spawn(server.run)
     ingress.start_server(ingress.listen(address), shared).wait()
 
 
