--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Command: run the soak from one or several seeds.
+"""Command that runs the soak from one or several seeds.
 
 python -m soak --seed 7 --runs 3 --seconds 20
 """
@@ -33,12 +33,12 @@
     """Disturb a site of real processes and check the promises."""
     failed = 0
     for number in range(seed, seed + runs):
-        broken, line = run_module.run(number, seconds, gateways, keep)
-        verdict = "broken" if broken else "kept"
+        violations, line = run_module.run(number, seconds, gateways, keep)
+        verdict = "broken" if violations else "kept"
         print(f"seed {number}: {verdict}; {line}", flush=True)
-        for what in broken:
-            print(f"  {what}", flush=True)
-        failed += bool(broken)
+        for violation in violations:
+            print(f"  {violation}", flush=True)
+        failed += bool(violations)
     if failed:
         sys.exit(1)
 
@@ -49,6 +49,7 @@
 
 
 if __name__ == "__main__":
-    # The programs that it starts are found from the project's root.
+    # The standins package, the programs and their paths are relative to
+    # the project's root.
     sys.path.insert(0, str(pathlib.Path(__file__).parent.parent))
     main()
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers: they send requests and remember all that they see."""
+"""Callers that send requests and record what they observe."""
 
 from collections import abc
 import http.client
@@ -15,16 +15,19 @@
 
 __all__ = ["Attempt", "Caller"]
 
-_DEADLINE = 3.0
-# Seconds beyond the deadline after which a caller stops listening.
-_PATIENCE = 4.0
-_TTL = 2.0
-_PAUSE = 0.08
-# One request in so many is left by its caller before the answer.
-_LEAVES = 15
-_EVENTS = 6
-_FAILURES = (OSError, http.client.HTTPException, ValueError)
-# Route, method and how the server misbehaves, with how often each comes.
+_REQUEST_DEADLINE = 3.0
+# Deadline of each request in seconds, and the time beyond it after which
+# a caller stops waiting for the answer.
+_ANSWER_GRACE = 4.0
+_ADDRESSES_TTL = 2.0  # seconds between two reads of a directory
+_MEAN_PAUSE = 0.08  # seconds between two requests
+# One request in this many is abandoned by its caller at random within
+# 0.1 s.
+_REQUESTS_PER_ABANDONED = 15
+_EVENT_COUNT = 6
+_EXCHANGE_ERRORS = (OSError, http.client.HTTPException, ValueError)
+# Relative frequency, method and target of requests; the target selects
+# the route and the fault of the stand-in server.
 _REQUESTS = (
     (6, "POST", "/stream/x"),
     (2, "POST", "/stream/slow/x"),
@@ -40,18 +43,26 @@
     (1, "POST", "/unsafe/busy/x"),
     (1, "POST", "/unsafe/error/x"),
 )
-_numbers = itertools.count(1)
+_request_numbers = itertools.count(1)
 
 
 class Attempt(msgspec.Struct, kw_only=True):
-    """One request as its caller saw it.
+    """One request as its caller observed it.
+
+    Times are of the monotonic clock, in seconds.
 
     Attributes:
-        process: Lifetime of the gateway that it went to.
-        read: When the gateway can have read it whole at the latest.
+        gateway: Gateway that it was sent to.
+        process: The gateway's process at that time, as `NAME#NUMBER`.
+        began: When the caller began to send it.
+        written: When all of it had been written, so that the gateway could
+            read it; 0 if it was not.
+        ended: When the answer or the failure was complete.
         status: Status of the answer, 0 for none.
-        whole: Whether the answer ended as it was framed.
-        left: Whether the caller closed its connection first.
+        complete: Whether the answer ended as it was framed.
+        abandoned: Whether the caller closed its connection before the
+            answer ended.
+        seal: Signature of the server that answered.
     """
 
     id: str
@@ -61,11 +72,11 @@
     gateway: str
     process: str
     began: float
-    read: float = 0.0
+    written: float = 0.0
     ended: float = 0.0
     status: int = 0
-    whole: bool = False
-    left: bool = False
+    complete: bool = False
+    abandoned: bool = False
     seal: str = ""
     answer: bytes = b""
     retry_after: str = ""
@@ -78,14 +89,14 @@
 
 
 class Caller:
-    """Sends requests one after the other, over connections it keeps."""
+    """Sends requests one after the other, over persistent connections."""
 
     def __init__(self, seed: int, site: typing.Any) -> None:
-        self._chance = random.Random(seed)
+        self._random = random.Random(seed)
         self._site = site
         self._connections: dict[str, http.client.HTTPConnection] = {}
         self._addresses: list[str] = []
-        self._asked = 0.0
+        self._resolved_at = 0.0
         self.attempts: list[Attempt] = []
         self.stopped = False
 
@@ -94,38 +105,42 @@
         while not self.stopped:
             self._resolve()
             if self._addresses:
-                weights = [one[0] for one in _REQUESTS]
-                chosen = self._chance.choices(_REQUESTS, weights)[0]
+                weights = [row[0] for row in _REQUESTS]
+                chosen = self._random.choices(_REQUESTS, weights)[0]
                 self.send(chosen[1], chosen[2])
-            eventlet.sleep(self._chance.uniform(0.0, 2 * _PAUSE))
+            eventlet.sleep(self._random.uniform(0.0, 2 * _MEAN_PAUSE))
 
     def _resolve(self) -> None:
-        """Ask some gateway for the addresses; keep the old ones if none."""
-        if time.monotonic() - self._asked < _TTL:
+        """Refresh the addresses from a random gateway's directory.
+
+        If the gateway does not answer, the old addresses stay in use.
+        """
+        if time.monotonic() - self._resolved_at < _ADDRESSES_TTL:
             return
-        name = self._chance.choice(list(self._site.directories))
+        name = self._random.choice(list(self._site.directories))
         url = f"http://{self._site.directories[name]}/"
         try:
             with eventlet.Timeout(1.0):
                 answer = self._site.http.request("GET", url, timeout=1.0)
-            given = msgspec.json.decode(answer.data)["addresses"]
+            addresses = msgspec.json.decode(answer.data)["addresses"]
         except (
-            *_FAILURES,
+            *_EXCHANGE_ERRORS,
             urllib3.exceptions.HTTPError,
             eventlet.Timeout,
             KeyError,
         ):
-            # That gateway is away; the next one is asked soon.
+            # The gateway is unreachable; the next request tries again,
+            # perhaps at another.
             return
-        self._asked = time.monotonic()
-        self._addresses = given
+        self._resolved_at = time.monotonic()
+        self._addresses = addresses
 
     def send(self, method: str, target: str, address: str = "") -> Attempt:
-        """Send one request and remember what comes of it."""
-        address = address or self._chance.choice(self._addresses)
+        """Send one request and record its answer or failure."""
+        address = address or self._random.choice(self._addresses)
         name = self._site.find_gateway(address)
         attempt = Attempt(
-            id=f"r{next(_numbers)}",
+            id=f"r{next(_request_numbers)}",
             method=method,
             target=target,
             body=b"" if method == "GET" else b"order 7",
@@ -134,25 +149,25 @@
             began=time.monotonic(),
         )
         self.attempts.append(attempt)
-        leaves = self._chance.randrange(_LEAVES) == 0
-        patience = (
-            self._chance.uniform(0.0, 0.1)
-            if leaves
-            else (_DEADLINE + _PATIENCE)
+        is_abandoned = self._random.randrange(_REQUESTS_PER_ABANDONED) == 0
+        timeout = (
+            self._random.uniform(0.0, 0.1)
+            if is_abandoned
+            else (_REQUEST_DEADLINE + _ANSWER_GRACE)
         )
         try:
-            with eventlet.Timeout(patience):
+            with eventlet.Timeout(timeout):
                 self._exchange(attempt, address)
-        except _FAILURES as error:
+        except _EXCHANGE_ERRORS as error:
             attempt.failure = f"{type(error).__name__}: {error}"
-            self._drop(address)
+            self._close_connection(address)
         except eventlet.Timeout:
-            attempt.left = True
-            self._drop(address)
+            attempt.abandoned = True
+            self._close_connection(address)
         attempt.ended = time.monotonic()
         return attempt
 
-    def _drop(self, address: str) -> None:
+    def _close_connection(self, address: str) -> None:
         connection = self._connections.pop(address, None)
         if connection is not None:
             connection.close()
@@ -160,8 +175,10 @@
     def _connect(self, address: str) -> http.client.HTTPConnection:
         if address not in self._connections:
             host, _, port = address.rpartition(":")
-            made = http.client.HTTPConnection(host, int(port), timeout=8.0)
-            self._connections[address] = made
+            connection = http.client.HTTPConnection(
+                host, int(port), timeout=8.0
+            )
+            self._connections[address] = connection
         return self._connections[address]
 
     def _exchange(self, attempt: Attempt, address: str) -> None:
@@ -170,12 +187,12 @@
             "Host": gateways_module.HOST,
             "Authorization": f"Bearer {gateways_module.KEY}",
             "X-Attempt-Id": attempt.id,
-            "X-Deadline-Ms": str(int(_DEADLINE * 1000)),
+            "X-Deadline-Ms": str(int(_REQUEST_DEADLINE * 1000)),
             "X-Model": "m",
         }
         body = attempt.body or None
         connection.request(attempt.method, attempt.target, body, headers)
-        attempt.read = time.monotonic()
+        attempt.written = time.monotonic()
         response = connection.getresponse()
         attempt.status = response.status
         attempt.seal = response.headers.get("X-Server-Seal", "")
@@ -184,17 +201,21 @@
         try:
             for part in _read_parts(response):
                 parts.append(part)
-            attempt.whole = True
+            attempt.complete = True
         finally:
             attempt.answer = b"".join(parts)
         if response.will_close:
-            self._drop(address)
+            self._close_connection(address)
 
 
 def _read_parts(
     response: http.client.HTTPResponse,
 ) -> abc.Iterator[bytes]:
-    """Yield the body as it comes; raises where it is cut off."""
+    """Yield the body in pieces as they arrive.
+
+    Raises:
+        http.client.IncompleteRead: The body ended before its length.
+    """
     while True:
         part = response.read1(65_536)
         if not part:
@@ -202,5 +223,5 @@
         yield part
     if response.length:
         raise http.client.IncompleteRead(b"", response.length)
-    # Only this tells the library that the connection is free again.
+    # http.client reuses the connection only after a read to the end.
     response.read()
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -1,4 +1,4 @@
-"""Which disturbances come when, from one seed."""
+"""Random schedules of faults and planned changes, from a seed."""
 
 from collections import abc
 import enum
@@ -10,7 +10,7 @@
 
 
 class Kind(enum.Enum):
-    """What is done to the site."""
+    """A fault that is injected, or an operator's planned change."""
 
     KILL_GATEWAY = "kill_gateway"
     STOP_GATEWAY = "stop_gateway"
@@ -25,13 +25,15 @@
     STORE_SLOW = "store_slow"
     STORE_LOSES = "store_loses"
     STORE_FORGETS = "store_forgets"
+    # CUT_GATEWAY and CUT_ENTRY are of the link from a gateway or server to
+    # the store, CUT_UPSTREAM is of the links from gateways to a server.
     CUT_GATEWAY = "cut_gateway"
     CUT_UPSTREAM = "cut_upstream"
     CUT_ENTRY = "cut_entry"
     CONFIGURE = "configure"
 
 
-# How often each kind comes, against the others.
+# Relative frequency of each kind.
 _WEIGHTS = {
     Kind.KILL_GATEWAY: 3,
     Kind.STOP_GATEWAY: 3,
@@ -51,7 +53,7 @@
     Kind.CUT_ENTRY: 2,
     Kind.CONFIGURE: 6,
 }
-_ON_GATEWAYS = (
+_GATEWAY_KINDS = (
     Kind.KILL_GATEWAY,
     Kind.STOP_GATEWAY,
     Kind.PAUSE_GATEWAY,
@@ -59,34 +61,36 @@
     Kind.CLOCK_BACK,
     Kind.CUT_GATEWAY,
 )
-_ON_UPSTREAMS = (
+_UPSTREAM_KINDS = (
     Kind.KILL_UPSTREAM,
     Kind.PAUSE_UPSTREAM,
     Kind.DRAIN_UPSTREAM,
     Kind.CUT_UPSTREAM,
     Kind.CUT_ENTRY,
 )
-# How a link may fail; the names of `proxy.Mode`.
-_WAYS = ("delayed", "silent", "one_way", "resetting")
-# Seconds without disturbance at the start and between two of them, at
-# most; a third come in quick series, so that they overlap.
-_FIRST = 1.0
-_PAUSE = 2.0
+# How a link may fail: the values of `proxy.Mode` but for passing.
+_LINK_MODES = ("delayed", "silent", "one_way", "resetting")
+# Seconds before the first disturbance, and at most between the starts of
+# two. About a third follow in quick series, so that they overlap.
+_START_DELAY = 1.0
+_MAX_PAUSE = 2.0
 _SERIES_SHARE = 0.35
-_SERIES_PAUSE = 0.2
-# Seconds that one lasts.
-_SHORTEST = 0.3
-_LONGEST = 4.0
+_MAX_SERIES_PAUSE = 0.2
+# Range of the duration of a disturbance, in seconds.
+_MIN_DURATION = 0.3
+_MAX_DURATION = 4.0
 
 
 class Disturbance(msgspec.Struct, frozen=True):
-    """One thing that goes wrong, or is planned.
+    """One fault or planned change.
 
     Attributes:
-        at: Seconds from the start.
-        lasts: Seconds until it is mended.
-        target: Process that it strikes; empty where there is no choice.
-        way: How a link fails.
+        at: Start, in seconds from the start of the run.
+        kind: What is done.
+        lasts: Duration in seconds; kinds without one ignore it.
+        target: Process that it affects; empty if the kind has no choice.
+        way: Value of the `proxy.Mode` in which a link fails; only kinds
+            that cut links use it.
     """
 
     at: float
@@ -102,22 +106,32 @@
     gateways: abc.Sequence[str],
     upstreams: abc.Sequence[str],
 ) -> list[Disturbance]:
-    """Return the disturbances of one run in their order."""
-    chance = random.Random(seed)
+    """Return the disturbances of one run, by start.
+
+    The plan depends only on the arguments. A change to the order or number
+    of random draws changes the plan of every seed.
+
+    Args:
+        seed: Seed of the random numbers.
+        seconds: Time in which disturbances start.
+        gateways: Names of the gateways.
+        upstreams: Names of the engines and services.
+    """
+    rng = random.Random(seed)
     kinds = list(_WEIGHTS)
     weights = [_WEIGHTS[kind] for kind in kinds]
-    found = []
-    at = _FIRST
+    disturbances = []
+    at = _START_DELAY
     while at < seconds:
-        kind = chance.choices(kinds, weights)[0]
+        kind = rng.choices(kinds, weights)[0]
         target = ""
-        if kind in _ON_GATEWAYS:
-            target = chance.choice(gateways)
-        elif kind in _ON_UPSTREAMS:
-            target = chance.choice(upstreams)
-        lasts = chance.uniform(_SHORTEST, _LONGEST)
-        way = chance.choice(_WAYS)
-        found.append(Disturbance(at, kind, lasts, target, way))
-        in_series = chance.random() < _SERIES_SHARE
-        at += chance.uniform(0.0, _SERIES_PAUSE if in_series else _PAUSE)
-    return found
+        if kind in _GATEWAY_KINDS:
+            target = rng.choice(gateways)
+        elif kind in _UPSTREAM_KINDS:
+            target = rng.choice(upstreams)
+        lasts = rng.uniform(_MIN_DURATION, _MAX_DURATION)
+        way = rng.choice(_LINK_MODES)
+        disturbances.append(Disturbance(at, kind, lasts, target, way))
+        in_series = rng.random() < _SERIES_SHARE
+        at += rng.uniform(0.0, _MAX_SERIES_PAUSE if in_series else _MAX_PAUSE)
+    return disturbances
--- a/soak/promises.py
+++ b/soak/promises.py
@@ -1,4 +1,8 @@
-"""The promises, checked against what callers and servers saw."""
+"""Checks of the promises: invariants that hold whatever the faults.
+
+They are checked after a run, against what callers, servers and the site
+recorded.
+"""
 
 from collections import abc
 import typing
@@ -11,33 +15,38 @@
 
 Attempt = callers.Attempt
 
-_EVENTS = 6
-_PROMISES = (408, 421, 429, 503)
-_ONCE = ("unsafe", "once")
-# Runs that one request of a caller may have on its route.
-_MOST_RUNS = {"safe": 2, "stream": 2}
-# Seconds from the end of all disturbance of a node until it is calm, and
-# within which a version must then be in force: the platform's two, and
-# room for a busy machine.
-_CALM = 6.0
-_IN_FORCE = 6.0
-# Seconds before a request in which a disturbance may still break it off.
-_STRUCK = 1.0
-# Seconds after which a server that leaves gets no new request: the
-# platform's two, and room for a busy machine.
-_LEFT = 6.0
-# Seconds beyond its deadline within which a request has its answer.
-_ANSWERED = 3.0 + 2.0
-_check_functions: list[abc.Callable[["Observed"], abc.Iterable[str]]] = []
+_EVENT_COUNT = 6
+_NOT_RUN_STATUSES = (408, 421, 429, 503)
+_NON_IDEMPOTENT_KINDS = ("unsafe", "once")
+# How often a request may run, by the kind of its route.
+_MAX_RUNS = {"safe": 2, "stream": 2}
+# Seconds from the last disturbance of a gateway until it counts as calm,
+# and within which a calm gateway applies a version. The platform allows
+# two seconds; the rest is tolerance for a busy machine.
+_CALM_TIME = 6.0
+_APPLY_TIME = 6.0
+# Seconds before a request in which a disturbance may still cut it.
+_CUT_WINDOW = 1.0
+# Seconds after which a draining server gets no new request. The platform
+# allows two seconds; the rest is tolerance for a busy machine.
+_DRAIN_TIME = 6.0
+# Seconds within which a request has its answer: the callers' deadline and
+# a tolerance.
+_ANSWER_TIME = 3.0 + 2.0
+_checks: list[abc.Callable[["Observed"], abc.Iterable[str]]] = []
 
 
 class Observed(msgspec.Struct):
-    """All that a run has shown.
+    """What was recorded in a run.
+
+    Times are of the monotonic clock, in seconds.
 
     Attributes:
-        records: What each server wrote, by its name.
-        history: What was done when, to whom.
-        acknowledged: When the store took each version.
+        attempts: The requests of all callers.
+        records: Lines of each server's record file, by its name.
+        history: Time, event and process (or empty) of what was done.
+        acknowledged: When the store acknowledged each version, or when a
+            newer one replaced it before.
         end: When the run ended.
     """
 
@@ -48,14 +57,14 @@
     end: float
 
     def list_runs(self) -> abc.Iterator[tuple[str, dict[str, typing.Any]]]:
-        """Yield each run with its server's name."""
+        """Yield the record line of each run with its server's name."""
         for name, lines in self.records.items():
             for line in lines:
                 if line["what"] == "run":
                     yield name, line
 
     def count_runs(self) -> dict[str, int]:
-        """Return the runs of each attempt."""
+        """Return the number of runs of each attempt, by its id."""
         counts: dict[str, int] = {}
         for _, line in self.list_runs():
             attempt = line["run"]["attempt"]
@@ -63,104 +72,136 @@
         return counts
 
     def is_calm(self, gateway: str, since: float, until: float) -> bool:
-        """Return whether a gateway and the store were left alone."""
+        """Return whether nothing disturbed a gateway or the store.
+
+        Args:
+            gateway: Its name.
+            since: Start of the period; the calm time before it counts too.
+            until: End of the period.
+        """
         for at, what, name in self.history:
-            strikes = name == gateway or what.startswith("store")
-            if strikes and since - _CALM <= at <= until:
+            is_relevant = name == gateway or what.startswith("store")
+            if is_relevant and since - _CALM_TIME <= at <= until:
                 return False
-        return not self._is_struck(gateway, since)
+        return not self._is_disturbed(gateway, since)
 
-    def _is_struck(self, gateway: str, at: float) -> bool:
-        """Return whether a disturbance of before has not been mended."""
+    def _is_disturbed(self, gateway: str, at: float) -> bool:
+        """Return whether a disturbance from before `at` has not ended."""
         state = {}
         for when, what, name in self.history:
             if when <= at and (name == gateway or what.startswith("store")):
                 state[name] = what
-        mended = ("started", "resumed", "mended", "store_mended", "reloaded")
-        mended = (*mended, "store_forgets")
-        return any(what not in mended for what in state.values())
-
-
-def promise(
+        ended_states = (
+            "started",
+            "resumed",
+            "mended",
+            "store_mended",
+            "reloaded",
+        )
+        ended_states = (*ended_states, "store_forgets")
+        return any(what not in ended_states for what in state.values())
+
+
+def register(
     check: abc.Callable[[Observed], abc.Iterable[str]],
 ) -> abc.Callable[[Observed], abc.Iterable[str]]:
-    """Register a check."""
-    _check_functions.append(check)
+    """Register a check of one promise; it yields the violations."""
+    _checks.append(check)
     return check
 
 
 def check_all(observed: Observed) -> list[str]:
-    """Return what was broken, in words."""
+    """Return a line for each violation, prefixed by its check's name."""
     found = []
-    for check in _check_functions:
+    for check in _checks:
         name = check.__name__.removeprefix("check_")
         found += [f"{name}: {what}" for what in check(observed)]
     return found
 
 
-def _make_events(attempt: str, count: int = _EVENTS) -> bytes:
+def _make_events(attempt: str, count: int = _EVENT_COUNT) -> bytes:
     return b"".join(
         f"id: {number}\ndata: {attempt} {number}\n\n".encode()
         for number in range(1, count + 1)
     )
 
 
-@promise
+@register
 def check_answers(observed: Observed) -> abc.Iterator[str]:
-    """A success is the server's whole answer to this very request."""
-    for one in observed.attempts:
-        if one.status != 200:
+    """A success is the server's complete answer to this very request."""
+    for attempt in observed.attempts:
+        if attempt.status != 200:
             continue
-        if one.kind in ("stream", "once"):
-            expected = _make_events(one.id)
-            fits = expected.startswith(one.answer)
+        if attempt.kind in ("stream", "once"):
+            expected = _make_events(attempt.id)
+            is_prefix = expected.startswith(attempt.answer)
         else:
-            expected = f"{one.method} {one.target} ".encode() + one.body
-            fits = True
-        if not one.seal:
-            yield f"{one.id} {one.target}: a success nobody signed"
-        if one.whole and one.answer != expected:
-            yield f"{one.id} {one.target}: {one.answer[:80]!r} as whole"
-        if not fits:
-            yield f"{one.id} {one.target}: {one.answer[:200]!r} in part"
+            expected = (
+                f"{attempt.method} {attempt.target} ".encode() + attempt.body
+            )
+            is_prefix = True
+        if not attempt.seal:
+            yield (
+                f"{attempt.id} {attempt.target}: a success without a signature"
+            )
+        if attempt.complete and attempt.answer != expected:
+            yield (
+                f"{attempt.id} {attempt.target}: "
+                f"{attempt.answer[:80]!r} as complete"
+            )
+        if not is_prefix:
+            yield (
+                f"{attempt.id} {attempt.target}: "
+                f"{attempt.answer[:200]!r} in a stream"
+            )
 
 
-@promise
+@register
 def check_runs(observed: Observed) -> abc.Iterator[str]:
-    """What is not idempotent runs once, and a refusal is true."""
+    """A request that is not idempotent runs at most once.
+
+    It has not run when the status says so, and every success has run.
+    """
     counts = observed.count_runs()
-    for one in observed.attempts:
-        runs = counts.get(one.id, 0)
-        if one.kind in _ONCE and runs > 1:
-            yield f"{one.id} {one.target}: ran {runs} times"
-        if one.kind in _ONCE and one.status in _PROMISES and runs:
-            yield f"{one.id} {one.target}: {one.status}, and it ran"
-        if runs > _MOST_RUNS.get(one.kind, 2):
-            yield f"{one.id} {one.target}: ran on {runs} servers"
-        if one.status == 200 and not runs:
-            yield f"{one.id} {one.target}: answered, and it never ran"
-
-
-@promise
+    for attempt in observed.attempts:
+        runs = counts.get(attempt.id, 0)
+        if attempt.kind in _NON_IDEMPOTENT_KINDS and runs > 1:
+            yield f"{attempt.id} {attempt.target}: ran {runs} times"
+        if (
+            attempt.kind in _NON_IDEMPOTENT_KINDS
+            and attempt.status in _NOT_RUN_STATUSES
+            and runs
+        ):
+            yield (
+                f"{attempt.id} {attempt.target}: "
+                f"ran despite its {attempt.status}"
+            )
+        if runs > _MAX_RUNS.get(attempt.kind, 2):
+            yield f"{attempt.id} {attempt.target}: ran on {runs} servers"
+        if attempt.status == 200 and not runs:
+            yield f"{attempt.id} {attempt.target}: answered without a run"
+
+
+@register
 def check_unasked(observed: Observed) -> abc.Iterator[str]:
-    """Nothing runs that no caller sent, or otherwise than it was sent."""
-    sent = {one.id: one for one in observed.attempts}
+    """Each run is of a request that a caller sent, and unchanged."""
+    sent = {attempt.id: attempt for attempt in observed.attempts}
     for name, line in observed.list_runs():
         run = line["run"]
-        one = sent.get(run["attempt"])
-        if one is None:
-            yield f"{run['attempt']} ran at {name}, and nobody sent it"
+        attempt = sent.get(run["attempt"])
+        if attempt is None:
+            yield f"{run['attempt']} ran at {name} and was not sent"
             continue
         got = (run["method"], run["target"], run["body"].encode("latin-1"))
-        if got != (one.method, one.target, one.body):
-            yield f"{one.id}: ran as {got}"
+        if got != (attempt.method, attempt.target, attempt.body):
+            yield f"{attempt.id}: ran as {got}"
         if (run["tenant"], run["key"]) != ("shop", None):
-            yield f"{one.id}: ran for {run['tenant']}, key {run['key']}"
+            yield f"{attempt.id}: ran for {run['tenant']}, key {run['key']}"
 
 
-@promise
+@register
 def check_whole_replicas(observed: Observed) -> abc.Iterator[str]:
-    """A request runs only where all members have been ready."""
+    """A request runs only in a replica whose members were all ready."""
     ready: dict[tuple[str, str, int], float] = {}
     for name, lines in observed.records.items():
         for line in lines:
@@ -178,46 +219,51 @@
                 yield f"{line['run']['attempt']} at {name} without {member}"
 
 
-@promise
+@register
 def check_one_replica(observed: Observed) -> abc.Iterator[str]:
-    """No instance joins while its old leader may take requests."""
+    """No instance changes its replica while the old leader is open."""
     for name, lines in observed.records.items():
-        held: dict[str, typing.Any] | None = None
+        last_seat: dict[str, typing.Any] | None = None
         for line in lines:
             if line["what"] == "start":
-                held = None
+                last_seat = None
             if line["what"] != "seat":
                 continue
             seat = line["seat"]
             moved = (
-                held
+                last_seat
                 and seat
                 and (
-                    (held["name"], held["epoch"])
+                    (last_seat["name"], last_seat["epoch"])
                     != (seat["name"], seat["epoch"])
                 )
             )
-            if moved and held and _is_open(observed, held, line["at"]):
-                yield f"{name} left {held['name']} for {seat['name']}"
-            # One that was told to leave has no seat: the holder of the
-            # domain frees the members of a leader that is silent, and
-            # nobody routes to a leader whose member has gone.
-            held = seat
-
-
-def _is_open(
+            if (
+                moved
+                and last_seat
+                and _was_open(observed, last_seat, line["at"])
+            ):
+                yield f"{name} left {last_seat['name']} for {seat['name']}"
+            # An instance that was ordered to leave has no seat, and is not
+            # checked when it joins the next replica: the domain's holder
+            # frees the members of a leader that does not answer, and no
+            # gateway routes to a leader whose member has left.
+            last_seat = seat
+
+
+def _was_open(
     observed: Observed, seat: dict[str, typing.Any], at: float
 ) -> bool:
-    """Return whether a replica's leader took requests at a moment."""
+    """Return whether a replica's leader took requests at a time."""
     leader = seat["members"][0]
-    now: dict[str, typing.Any] | None = None
+    last_seat: dict[str, typing.Any] | None = None
     for line in observed.records[leader]:
         if line["at"] >= at:
             break
         if line["what"] == "start":
-            now = None
+            last_seat = None
         if line["what"] == "seat":
-            now = line["seat"]
+            last_seat = line["seat"]
     ends = [
         when
         for when, what, name in observed.history
@@ -231,38 +277,50 @@
     if ends and ends[-1] > starts[-1]:
         return False
     return (
-        now is not None
-        and (now["name"], now["epoch"]) == (seat["name"], seat["epoch"])
-        and now["state"] == "open"
+        last_seat is not None
+        and (last_seat["name"], last_seat["epoch"])
+        == (seat["name"], seat["epoch"])
+        and last_seat["state"] == "open"
     )
 
 
-@promise
+@register
 def check_configuration(observed: Observed) -> abc.Iterator[str]:
-    """A version is in force in time, and never goes back."""
+    """A gateway applies versions in time, and never reverts to an older."""
     seen: dict[str, tuple[float, int]] = {}
-    for one in sorted(observed.attempts, key=lambda one: one.began):
-        if not one.kind.startswith("v") or one.status not in (200, 404):
+    for attempt in sorted(
+        observed.attempts, key=lambda attempt: attempt.began
+    ):
+        if not attempt.kind.startswith("v") or attempt.status not in (
+            200,
+            404,
+        ):
             continue
-        version = int(one.kind[1:])
-        ended, newest = seen.get(one.process, (0.0, 0))
-        if one.status == 200:
+        version = int(attempt.kind[1:])
+        ended, newest = seen.get(attempt.process, (0.0, 0))
+        if attempt.status == 200:
             if version > newest:
-                seen[one.process] = (one.ended, version)
+                seen[attempt.process] = (attempt.ended, version)
             continue
-        if version == newest and one.began > ended + 0.25:
-            yield f"{one.id}: {one.process} knew version {version}"
+        if version == newest and attempt.began > ended + 0.25:
+            yield (
+                f"{attempt.id}: {attempt.process} "
+                f"no longer has version {version}"
+            )
         since = observed.acknowledged[version]
-        if one.began > since + _IN_FORCE and observed.is_calm(
-            one.gateway, since, one.ended
+        if attempt.began > since + _APPLY_TIME and observed.is_calm(
+            attempt.gateway, since, attempt.ended
         ):
-            yield f"{one.id}: {one.gateway} still lacks version {version}"
+            yield (
+                f"{attempt.id}: {attempt.gateway} "
+                f"has not applied version {version}"
+            )
 
 
-@promise
+@register
 def check_leaving(observed: Observed) -> abc.Iterator[str]:
-    """A server that leaves gets no new requests."""
-    began = {one.id: one for one in observed.attempts}
+    """A draining server gets no new requests after some seconds."""
+    began = {attempt.id: attempt for attempt in observed.attempts}
     for name, lines in observed.records.items():
         drained = None
         for line in lines:
@@ -271,69 +329,90 @@
             elif line["what"] == "drain":
                 drained = line["at"]
             elif line["what"] == "run" and drained is not None:
-                one = began[line["run"]["attempt"]]
-                late = line["at"] > drained + _LEFT
-                if late and observed.is_calm(one.gateway, drained, line["at"]):
-                    yield f"{one.id}: run at {name}, which leaves"
+                attempt = began[line["run"]["attempt"]]
+                is_late = line["at"] > drained + _DRAIN_TIME
+                if is_late and observed.is_calm(
+                    attempt.gateway, drained, line["at"]
+                ):
+                    yield f"{attempt.id}: run at {name}, which is draining"
 
 
-@promise
+@register
 def check_stops(observed: Observed) -> abc.Iterator[str]:
-    """A planned stop cuts off no request."""
+    """A planned stop of a gateway cuts no request."""
     for at, what, name in observed.history:
         if what != "stopping":
             continue
-        for one in observed.attempts:
-            under_way = one.gateway == name and one.read <= at <= one.ended
-            if not under_way or not one.read or one.left:
+        for attempt in observed.attempts:
+            is_under_way = (
+                attempt.gateway == name
+                and attempt.written <= at <= attempt.ended
+            )
+            if not is_under_way or not attempt.written or attempt.abandoned:
                 continue
-            if one.status == 0 and not _is_killed(observed, name, at, one):
-                # Whatever becomes of servers, a gateway says so itself.
-                yield f"{one.id} {one.target}: no answer, {one.failure}"
-            broke_off = "reset" in one.target or "torn" in one.target
-            cut = one.status and not one.whole and not broke_off
-            if cut and not _is_excused(observed, name, one):
-                yield f"{one.id} {one.target}: cut, {one.failure}"
+            if attempt.status == 0 and not _is_killed(
+                observed, name, at, attempt
+            ):
+                # A gateway answers even if all servers have failed.
+                yield (
+                    f"{attempt.id} {attempt.target}: "
+                    f"no answer, {attempt.failure}"
+                )
+            is_reset_asked = (
+                "reset" in attempt.target or "torn" in attempt.target
+            )
+            is_cut = (
+                attempt.status and not attempt.complete and not is_reset_asked
+            )
+            if is_cut and not _is_excused(observed, name, attempt):
+                yield f"{attempt.id} {attempt.target}: cut, {attempt.failure}"
 
 
 def _is_killed(
-    observed: Observed, gateway: str, at: float, one: Attempt
+    observed: Observed, gateway: str, at: float, attempt: Attempt
 ) -> bool:
-    """Return whether a gateway was struck while it stopped."""
+    """Return whether a gateway was killed or paused around its stop."""
     return any(
-        name == gateway and at - _CALM <= when <= one.ended
+        name == gateway and at - _CALM_TIME <= when <= attempt.ended
         for when, what, name in observed.history
         if what in ("killed", "paused", "resumed")
     )
 
 
-def _is_excused(observed: Observed, gateway: str, one: Attempt) -> bool:
-    """Return whether a server's trouble may have broken an answer off."""
+def _is_excused(observed: Observed, gateway: str, attempt: Attempt) -> bool:
+    """Return whether a disturbance may have cut a request's answer.
+
+    It counts if it was of the gateway itself, or of a server that ran the
+    request or belongs to that server's replica.
+    """
     servers = {gateway}
     for name, line in observed.list_runs():
-        if line["run"]["attempt"] == one.id:
+        if line["run"]["attempt"] == attempt.id:
             servers |= {name, *(line["seat"] or {"members": ()})["members"]}
     return any(
         name in servers
-        and one.began - _STRUCK <= when <= one.ended
+        and attempt.began - _CUT_WINDOW <= when <= attempt.ended
         and (what, name) != ("stopping", gateway)
         and what not in ("stopped", "reloaded", "started")
         for when, what, name in observed.history
     )
 
 
-@promise
+@register
 def check_final_answers(observed: Observed) -> abc.Iterator[str]:
-    """Each request has its final answer by its deadline."""
-    for one in observed.attempts:
-        late = one.ended > one.began + _ANSWERED
-        struck = [
+    """Each request gets its final answer soon after its deadline."""
+    for attempt in observed.attempts:
+        is_late = attempt.ended > attempt.began + _ANSWER_TIME
+        disturbances = [
             at
             for at, what, name in observed.history
-            if name == one.gateway
-            and one.began - _CALM <= at <= one.ended
+            if name == attempt.gateway
+            and attempt.began - _CALM_TIME <= at <= attempt.ended
             and what != "reloaded"
         ]
-        if late and not struck:
-            spent = one.ended - one.began
-            yield f"{one.id} {one.target}: {spent:.1f} s, {one.failure}"
+        if is_late and not disturbances:
+            spent = attempt.ended - attempt.began
+            yield (
+                f"{attempt.id} {attempt.target}: "
+                f"{spent:.1f} s, {attempt.failure}"
+            )
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A proxy on loopback that makes connections misbehave."""
+"""A TCP proxy on loopback that injects faults into connections."""
 
 import contextlib
 import enum
@@ -14,47 +14,48 @@
 
 __all__ = ["Mode", "Proxy"]
 
-_CHUNK = 65_536
-_DELAY = 0.3
-_POLL = 0.02
-_BACKLOG = 256
+_READ_SIZE = 65_536  # bytes
+_DELAY = 0.3  # seconds added to bytes and new connections
+_POLL_INTERVAL = 0.02  # seconds
+_BACKLOG = 256  # connections
 
 
 class Mode(enum.Enum):
-    """What happens to bytes and connections."""
+    """What the proxy does to bytes and connections."""
 
     PASSING = "passing"
-    # Bytes arrive late.
+    # Bytes are delayed.
     DELAYED = "delayed"
-    # Nothing passes either way, and nobody is told.
+    # Bytes are held in both directions; connections stay open.
     SILENT = "silent"
-    # Requests arrive and answers don't.
+    # Bytes to the target pass; bytes from it are held.
     ONE_WAY = "one_way"
-    # Connections are reset, new ones too.
+    # Open and new connections are reset.
     RESETTING = "resetting"
 
 
 class _Link:
     """One connection through the proxy: two sockets and two tasks.
 
-    A socket is closed only once nobody waits for it: the next one to get
-    its number would be woken in its place.
+    A socket is closed only once no task waits for it. Otherwise the next
+    socket could get the same file descriptor, and its task would be woken
+    by events meant for the closed one.
     """
 
-    def __init__(self, near: typing.Any, far: typing.Any) -> None:
+    def __init__(self, client: typing.Any, server: typing.Any) -> None:
         self._ends = (
-            sockets.ResetAwareSocket(near),
-            sockets.ResetAwareSocket(far),
+            sockets.ResetAwareSocket(client),
+            sockets.ResetAwareSocket(server),
         )
         self._tasks: list[typing.Any] = []
         self._passed_ends = 0
 
     def run(self, proxy: "Proxy") -> None:
-        """Carry bytes both ways until both ends have closed."""
-        near, far = self._ends
+        """Copy bytes both ways until both ends have closed."""
+        client, server = self._ends
         self._tasks = [
-            eventlet.spawn(self._pump, proxy, near, far, False),
-            eventlet.spawn(self._pump, proxy, far, near, True),
+            eventlet.spawn(self._pump, proxy, client, server, False),
+            eventlet.spawn(self._pump, proxy, server, client, True),
         ]
         for task in self._tasks:
             with contextlib.suppress(greenlet.GreenletExit):
@@ -79,11 +80,11 @@
         sink: typing.Any,
         is_answer: bool,
     ) -> None:
-        buffer = bytearray(_CHUNK)
+        buffer = bytearray(_READ_SIZE)
         try:
             while True:
                 data = bytes(buffer[: source.recv_into(buffer)])
-                proxy.hold(is_answer)
+                proxy.delay_bytes(is_answer)
                 if not data:
                     sink.shutdown(socket.SHUT_WR)
                     return
@@ -93,7 +94,11 @@
 
 
 class Proxy:
-    """Passes connections on to one address."""
+    """Forwards connections to one address.
+
+    Attributes:
+        address: HOST:PORT at which the proxy listens.
+    """
 
     def __init__(self, target: str) -> None:
         host, _, port = target.rpartition(":")
@@ -105,43 +110,52 @@
         self._listener = eventlet.listen(listening, backlog=_BACKLOG)
         eventlet.spawn_n(self._accept)
 
-    def set(self, mode: Mode) -> None:
-        """Change what happens; resetting strikes open connections too."""
+    def set_mode(self, mode: Mode) -> None:
+        """Set the mode of open and new connections.
+
+        The resetting mode resets the open ones at once.
+        """
         self._mode = mode
         if mode is Mode.RESETTING:
             for link in list(self._links):
                 link.reset()
 
-    def hold(self, is_answer: bool) -> None:
-        """Wait for as long as bytes are held up."""
-        held = (Mode.SILENT, Mode.ONE_WAY) if is_answer else (Mode.SILENT,)
-        while self._mode in held:
-            eventlet.sleep(_POLL)
+    def delay_bytes(self, is_answer: bool) -> None:
+        """Wait as long as the mode holds or delays bytes.
+
+        Args:
+            is_answer: Whether the bytes come from the target.
+        """
+        blocking_modes = (
+            (Mode.SILENT, Mode.ONE_WAY) if is_answer else (Mode.SILENT,)
+        )
+        while self._mode in blocking_modes:
+            eventlet.sleep(_POLL_INTERVAL)
         if self._mode is Mode.DELAYED:
             eventlet.sleep(_DELAY)
 
     def _accept(self) -> None:
         while True:
-            near, _ = self._listener.accept()
-            eventlet.spawn_n(self._join, near)
+            client, _ = self._listener.accept()
+            eventlet.spawn_n(self._open_link, client)
 
-    def _join(self, near: typing.Any) -> None:
+    def _open_link(self, client: typing.Any) -> None:
         try:
             if self._mode is Mode.RESETTING:
                 raise ConnectionAbortedError("resetting")
-            self.hold(False)
-            far = eventlet.connect(self._target)
+            self.delay_bytes(False)
+            server = eventlet.connect(self._target)
         except OSError:
-            # The same in front of the proxy as behind it.
-            _reset(near)
+            # The client sees a reset too when the target is unreachable.
+            _reset_socket(client)
             return
-        link = _Link(near, far)
+        link = _Link(client, server)
         self._links.add(link)
         link.run(self)
         self._links.discard(link)
 
 
-def _reset(sock: typing.Any) -> None:
+def _reset_socket(sock: typing.Any) -> None:
     """Close a connection that no task waits for, with a reset."""
     linger = struct.pack("ii", 1, 0)
     with contextlib.suppress(OSError):
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""One run: a site, its callers, its disturbances, and the verdict."""
+"""One run: a site, its callers, its disturbances, and the checks."""
 
 import pathlib
 import shutil
@@ -13,11 +13,12 @@
 
 __all__ = ["run"]
 
-_CALLERS = 6
-_PROBE_PAUSE = 0.3
-# Seconds in which a site that is left alone must serve again.
-_RECOVERY = 30.0
-_RECOVERY_KINDS = (
+_CALLER_COUNT = 6
+_PROBE_INTERVAL = 0.3  # seconds
+# Seconds from the end of all disturbances in which the site must serve
+# each of these again.
+_RECOVERY_TIMEOUT = 30.0
+_RECOVERY_REQUESTS = (
     ("POST", "/stream/x"),
     ("GET", "/safe/x"),
     ("POST", "/unsafe/x"),
@@ -27,31 +28,33 @@
 def run(
     seed: int, seconds: float, gateways: int, keep: pathlib.Path | None = None
 ) -> tuple[list[str], str]:
-    """Return what was broken, and a line about the run.
+    """Return the violations of promises, and a summary of the run.
 
     Args:
-        seed: Decides what is disturbed when, and what callers send.
-        seconds: How long disturbances go on.
-        gateways: Gateway processes.
-        keep: Where logs and records go if something was broken.
+        seed: Seed of the plan and of what callers send.
+        seconds: Time in which disturbances start.
+        gateways: Number of gateway processes.
+        keep: Folder for logs and records of a run with violations.
     """
     with site_module.Site(gateways) as site:
         site.start()
         callers = [
             callers_module.Caller(seed * 1000 + number, site)
-            for number in range(_CALLERS)
+            for number in range(_CALLER_COUNT)
         ]
         prober = callers_module.Caller(seed, site)
-        tasks = [eventlet.spawn(one.run) for one in callers]
+        tasks = [eventlet.spawn(caller.run) for caller in callers]
         tasks.append(eventlet.spawn(_probe, prober, site))
-        broken = _disturb(seed, seconds, site)
+        violations = _play_plan(seed, seconds, site)
         last = callers_module.Caller(seed, site)
-        broken += _recover(last, site)
-        for one in (*callers, prober):
-            one.stopped = True
+        violations += _recover(last, site)
+        for caller in (*callers, prober):
+            caller.stopped = True
         for task in tasks:
             task.wait()
-        attempts = [one for caller in callers for one in caller.attempts]
+        attempts = [
+            attempt for caller in callers for attempt in caller.attempts
+        ]
         attempts += prober.attempts + last.attempts
         observed = promises.Observed(
             attempts,
@@ -63,37 +66,41 @@
             site.acknowledged,
             time.monotonic(),
         )
-        broken += promises.check_all(observed)
-        broken += _find_failures(site)
-        if broken and keep is not None:
+        violations += promises.check_all(observed)
+        violations += _find_failures(site)
+        if violations and keep is not None:
             shutil.copytree(site.path, keep / f"seed-{seed}")
-            told = "\n".join(str(one) for one in site.history)
-            (keep / f"seed-{seed}" / "history.txt").write_text(told)
-        served = sum(one.status == 200 and one.whole for one in attempts)
+            lines = "\n".join(str(event) for event in site.history)
+            (keep / f"seed-{seed}" / "history.txt").write_text(lines)
+        served = sum(
+            attempt.status == 200 and attempt.complete for attempt in attempts
+        )
         line = f"{len(attempts)} requests, {served} served"
-        return broken, f"{line}, {len(site.history)} events"
+        return violations, f"{line}, {len(site.history)} events"
 
 
-def _disturb(seed: int, seconds: float, site: site_module.Site) -> list[str]:
-    """Play the plan; return what went wrong with the site itself."""
+def _play_plan(seed: int, seconds: float, site: site_module.Site) -> list[str]:
+    """Carry out the plan; return the errors of the site itself."""
     upstreams = [*site.engines, *site.apps]
     plan = plan_module.make_plan(seed, seconds, site.gateways, upstreams)
     started = time.monotonic()
     tasks = []
-    for one in plan:
-        eventlet.sleep(max(0.0, started + one.at - time.monotonic()))
-        tasks.append(eventlet.spawn(site.disturb, one))
-    broken = []
-    for one, task in zip(plan, tasks, strict=True):
+    for planned in plan:
+        eventlet.sleep(max(0.0, started + planned.at - time.monotonic()))
+        tasks.append(eventlet.spawn(site.disturb, planned))
+    violations = []
+    for planned, task in zip(plan, tasks, strict=True):
         try:
             task.wait()
         except Exception as error:
-            broken.append(f"site: {one}: {type(error).__name__}: {error}")
-    return broken
+            violations.append(
+                f"site: {planned}: {type(error).__name__}: {error}"
+            )
+    return violations
 
 
 def _probe(prober: callers_module.Caller, site: site_module.Site) -> None:
-    """Ask each gateway in turn for the newest versions' own routes."""
+    """Request the two newest versions' own routes from each gateway."""
     while not prober.stopped:
         for name in site.gateways:
             newest = site.newest
@@ -101,16 +108,16 @@
                 if version in site.acknowledged:
                     target = f"/v{version}/x"
                     prober.send("GET", target, site.fronts[name])
-        eventlet.sleep(_PROBE_PAUSE)
+        eventlet.sleep(_PROBE_INTERVAL)
 
 
 def _recover(
     caller: callers_module.Caller, site: site_module.Site
 ) -> list[str]:
-    """Return what is not served although nothing disturbs it any more."""
-    until = time.monotonic() + _RECOVERY
+    """Return what is still not served after the disturbances ended."""
+    until = time.monotonic() + _RECOVERY_TIMEOUT
     missing = [
-        (name, *kind) for name in site.gateways for kind in _RECOVERY_KINDS
+        (name, *kind) for name in site.gateways for kind in _RECOVERY_REQUESTS
     ]
     while missing and time.monotonic() < until:
         missing = [
@@ -118,16 +125,16 @@
             for name, method, target in missing
             if caller.send(method, target, site.fronts[name]).status != 200
         ]
-        eventlet.sleep(_PROBE_PAUSE)
-    return [f"recovery: {one} is not served" for one in missing]
+        eventlet.sleep(_PROBE_INTERVAL)
+    return [f"recovery: {request} is not served" for request in missing]
 
 
 def _find_failures(site: site_module.Site) -> list[str]:
-    """Return the mistakes that gateways have logged."""
+    """Return the lines of unexpected errors in the logs of gateways."""
     found = []
     for name in site.gateways:
         for line in site.read_log(name).splitlines():
-            marks = ("handler_failed", "task_failed", "Traceback")
-            if any(mark in line for mark in marks):
+            markers = ("handler_failed", "task_failed", "Traceback")
+            if any(marker in line for marker in markers):
                 found.append(f"log of {name}: {line[:300]}")
     return found
--- a/soak/site.py
+++ b/soak/site.py
@@ -1,4 +1,4 @@
-"""The processes of a soak, and what is done to them."""
+"""The processes of a soak, and the disturbances that act on them."""
 
 import pathlib
 import signal
@@ -19,22 +19,38 @@
 Kind = plan_module.Kind
 Mode = proxy_module.Mode
 
+# Fabric domains, engines in each, and plain services.
 _DOMAINS = 2
 _ENGINES = 5
 _APPS = 2
-_GRACE = 8.0
-_DRAIN = 2.5
-_READY_WAIT = 60.0
-# Versions whose own route stays in the configuration.
+# Seconds that a gateway gives its requests on a planned stop, that a server
+# drains before it is killed, and to wait for a process to be ready.
+_STOP_GRACE = 8.0
+_DRAIN_TIME = 2.5
+_READY_TIMEOUT = 60.0
+# Number of newest versions whose own routes are in the configuration.
 _KEPT_VERSIONS = 3
-_CLOCK_BACK = -60.0
+_CLOCK_SKEW = -60.0  # seconds
 # Seconds until the operator repeats a write that failed.
-_RETRY = 0.2
+_RETRY_INTERVAL = 0.2
 _ROOT = pathlib.Path(__file__).parent.parent
 
 
 class Site(gateways_module.Gateways):
-    """A platform, servers and gateways, with a proxy on each link."""
+    """A platform, servers and gateways, with proxies between them.
+
+    Each gateway and server reaches the store through a proxy of its own,
+    and each server is reached through one.
+
+    Attributes:
+        processes: Current process of each gateway, as `NAME#NUMBER`.
+        store_links: Proxy of each process to the store.
+        links: Proxy in front of each server.
+        history: Time, event and process (or empty) of what was done.
+        acknowledged: When the store acknowledged each version, or when a
+            newer one replaced it before.
+        newest: The newest version written, acknowledged or not.
+    """
 
     def __init__(self, gateways: int) -> None:
         super().__init__()
@@ -45,18 +61,14 @@
             for number in range(_ENGINES)
         ]
         self.apps = [f"a{number}" for number in range(_APPS)]
-        # Lifetime of each gateway's process, told by a number.
         self.processes: dict[str, str] = {}
         self.store_links: dict[str, proxy_module.Proxy] = {}
         self.links: dict[str, proxy_module.Proxy] = {}
-        # What happened when: (time, what, to whom).
         self.history: list[tuple[float, str, str]] = []
-        # When the store acknowledged each version.
         self.acknowledged: dict[int, float] = {}
-        # The newest of them, acknowledged or not.
         self.newest = 0
-        self._starts = 0
-        self._skews: dict[str, float] = {}
+        self._start_count = 0
+        self._clock_skews: dict[str, float] = {}
         self._down: set[str] = set()
 
     # -- Starting
@@ -64,51 +76,51 @@
     def start(self) -> None:
         """Start everything and wait until it serves."""
         self.start_platform()
-        fleet_module.wait_until(self._is_store_up, _READY_WAIT, "store")
+        fleet_module.wait_until(self._is_store_up, _READY_TIMEOUT, "store")
         self.configure()
         for name in [*self.engines, *self.apps]:
-            self.begin_upstream(name)
+            self.launch_upstream(name)
         for name in self.gateways:
-            self.begin_gateway(name)
+            self.launch_gateway(name)
         for name in self.gateways:
             fleet_module.wait_until(
-                lambda name=name: self.is_ready(name), _READY_WAIT, name
+                lambda name=name: self.is_ready(name), _READY_TIMEOUT, name
             )
 
     def _is_store_up(self) -> bool:
         base = f"http://{self.addresses['platform']}"
         return self.answers(f"{base}/currantwall/objects/servers")
 
-    def note(self, what: str, name: str = "") -> None:
-        """Remember what was done."""
-        self.history.append((time.monotonic(), what, name))
+    def record_event(self, event: str, name: str = "") -> None:
+        """Add an event of a process or of the site to the history."""
+        self.history.append((time.monotonic(), event, name))
 
     def get_store(self, name: str) -> str:
-        """Return the address of a process's own way to the store."""
+        """Return the address of a process's own proxy to the store."""
         if name not in self.store_links:
             store = self.addresses["platform"]
             self.store_links[name] = proxy_module.Proxy(store)
         return self.store_links[name].address
 
     def make_command(self, name: str) -> list[str]:
-        """Return what starts a gateway, perhaps with a wrong clock."""
-        skew = self._skews.pop(name, 0.0)
+        """Return the command of a gateway, with a shifted clock if set."""
+        skew = self._clock_skews.pop(name, 0.0)
         program = str(gateways_module.PROGRAM)
         if not skew:
             return [sys.executable, program]
         wrapper = str(_ROOT / "soak" / "skewed.py")
         return [sys.executable, wrapper, str(skew), program]
 
-    def begin_gateway(self, name: str) -> None:
-        """Start a gateway."""
-        self._starts += 1
-        self.processes[name] = f"{name}#{self._starts}"
-        self.start_gateway(name, _GRACE)
+    def launch_gateway(self, name: str) -> None:
+        """Start a gateway and record it."""
+        self._start_count += 1
+        self.processes[name] = f"{name}#{self._start_count}"
+        self.start_gateway(name, _STOP_GRACE)
         self._down.discard(name)
-        self.note("started", name)
+        self.record_event("started", name)
 
-    def begin_upstream(self, name: str) -> None:
-        """Start a server behind its proxy."""
+    def launch_upstream(self, name: str) -> None:
+        """Start a server behind its proxy and record it."""
         address = self._pick(name)
         if name not in self.links:
             self.links[name] = proxy_module.Proxy(address)
@@ -122,12 +134,13 @@
             domain = f"d{name[1]}"
             self.start_upstream(name, "pool", domain, "m", *options)
         self._down.discard(name)
-        self.note("started", name)
+        self.record_event("started", name)
 
     def configure(self) -> None:
-        """Write a new configuration until the store has acknowledged it.
+        """Write a new configuration, again until the store acknowledges it.
 
-        Each has a route of its own, which tells whether it is in force.
+        Each version adds a route of its own, which shows whether a gateway
+        has applied it. A newer version ends the attempts to write this one.
         """
         self.newest += 1
         number = self.newest
@@ -141,29 +154,32 @@
                 self.put_configuration(routes=routes)
                 break
             except AssertionError:
-                # The store is down, or has lost its answer.
-                eventlet.sleep(_RETRY)
+                # The store is down, or its answer was lost.
+                eventlet.sleep(_RETRY_INTERVAL)
         self.acknowledged[number] = time.monotonic()
-        self.note("configured", str(number))
+        self.record_event("configured", str(number))
 
     # -- Disturbances
 
-    def disturb(self, one: plan_module.Disturbance) -> None:
-        """Carry out a disturbance and mend it after its time."""
-        if one.target in self._down:
+    def disturb(self, disturbance: plan_module.Disturbance) -> None:
+        """Carry out a disturbance and undo it after its duration.
+
+        A target that is already down or paused is skipped.
+        """
+        if disturbance.target in self._down:
             return
-        if one.kind.value.startswith("store"):
-            self._disturb_store(one)
-        elif one.kind.value.startswith("cut"):
-            self._cut(one)
-        elif one.kind is Kind.CONFIGURE:
+        if disturbance.kind.value.startswith("store"):
+            self._disturb_store(disturbance)
+        elif disturbance.kind.value.startswith("cut"):
+            self._cut(disturbance)
+        elif disturbance.kind is Kind.CONFIGURE:
             self.configure()
         else:
-            getattr(self, f"_{one.kind.value}")(one)
+            getattr(self, f"_{disturbance.kind.value}")(disturbance)
 
-    def _disturb_store(self, one: plan_module.Disturbance) -> None:
-        self.note(one.kind.value)
-        if one.kind is Kind.STORE_FORGETS:
+    def _disturb_store(self, disturbance: plan_module.Disturbance) -> None:
+        self.record_event(disturbance.kind.value)
+        if disturbance.kind is Kind.STORE_FORGETS:
             url = f"http://{self.addresses['platform']}/control/forget"
             self.http.request("POST", url)
             return
@@ -172,95 +188,97 @@
             Kind.STORE_SLOW: {"delay": 0.25},
             Kind.STORE_LOSES: {"lose_writes": 6},
         }
-        self.set_store(**faults[one.kind])
-        eventlet.sleep(one.lasts)
+        self.set_store(**faults[disturbance.kind])
+        eventlet.sleep(disturbance.lasts)
         self.set_store()
-        self.note("store_mended")
+        self.record_event("store_mended")
 
-    def _cut(self, one: plan_module.Disturbance) -> None:
+    def _cut(self, disturbance: plan_module.Disturbance) -> None:
         links = (
-            self.links if one.kind is Kind.CUT_UPSTREAM else (self.store_links)
+            self.links
+            if disturbance.kind is Kind.CUT_UPSTREAM
+            else (self.store_links)
         )
-        self.note(one.kind.value, one.target)
-        links[one.target].set(Mode(one.way))
-        eventlet.sleep(one.lasts)
-        links[one.target].set(Mode.PASSING)
-        self.note("mended", one.target)
+        self.record_event(disturbance.kind.value, disturbance.target)
+        links[disturbance.target].set_mode(Mode(disturbance.way))
+        eventlet.sleep(disturbance.lasts)
+        links[disturbance.target].set_mode(Mode.PASSING)
+        self.record_event("mended", disturbance.target)
 
-    def _end(self, name: str, what: str) -> None:
+    def _kill_process(self, name: str, event: str) -> None:
         self._down.add(name)
-        self.note(what, name)
+        self.record_event(event, name)
         self.kill(name)
 
-    def _kill_gateway(self, one: plan_module.Disturbance) -> None:
-        self._end(one.target, "killed")
-        eventlet.sleep(one.lasts)
-        self.begin_gateway(one.target)
-
-    def _clock_back(self, one: plan_module.Disturbance) -> None:
-        self._skews[one.target] = _CLOCK_BACK
-        self._kill_gateway(one)
-
-    def _kill_all_gateways(self, one: plan_module.Disturbance) -> None:
-        struck = [one for one in self.gateways if one not in self._down]
-        for name in struck:
-            self._end(name, "killed")
-        eventlet.sleep(min(one.lasts, 1.0))
-        for name in struck:
-            self.begin_gateway(name)
-
-    def _stop_gateway(self, one: plan_module.Disturbance) -> None:
-        self._down.add(one.target)
-        self.note("stopping", one.target)
-        self.send_signal(one.target, signal.SIGTERM)
-        self.wait(one.target, _GRACE + 4.0)
-        self.note("stopped", one.target)
-        self.begin_gateway(one.target)
-
-    def _pause(self, one: plan_module.Disturbance) -> None:
-        self._down.add(one.target)
-        self.note("paused", one.target)
-        self.send_signal(one.target, signal.SIGSTOP)
-        eventlet.sleep(one.lasts)
-        self.send_signal(one.target, signal.SIGCONT)
-        self.note("resumed", one.target)
-        self._down.discard(one.target)
+    def _kill_gateway(self, disturbance: plan_module.Disturbance) -> None:
+        self._kill_process(disturbance.target, "killed")
+        eventlet.sleep(disturbance.lasts)
+        self.launch_gateway(disturbance.target)
+
+    def _clock_back(self, disturbance: plan_module.Disturbance) -> None:
+        self._clock_skews[disturbance.target] = _CLOCK_SKEW
+        self._kill_gateway(disturbance)
+
+    def _kill_all_gateways(self, disturbance: plan_module.Disturbance) -> None:
+        killed = [name for name in self.gateways if name not in self._down]
+        for name in killed:
+            self._kill_process(name, "killed")
+        eventlet.sleep(min(disturbance.lasts, 1.0))
+        for name in killed:
+            self.launch_gateway(name)
+
+    def _stop_gateway(self, disturbance: plan_module.Disturbance) -> None:
+        self._down.add(disturbance.target)
+        self.record_event("stopping", disturbance.target)
+        self.send_signal(disturbance.target, signal.SIGTERM)
+        self.wait(disturbance.target, _STOP_GRACE + 4.0)
+        self.record_event("stopped", disturbance.target)
+        self.launch_gateway(disturbance.target)
+
+    def _pause(self, disturbance: plan_module.Disturbance) -> None:
+        self._down.add(disturbance.target)
+        self.record_event("paused", disturbance.target)
+        self.send_signal(disturbance.target, signal.SIGSTOP)
+        eventlet.sleep(disturbance.lasts)
+        self.send_signal(disturbance.target, signal.SIGCONT)
+        self.record_event("resumed", disturbance.target)
+        self._down.discard(disturbance.target)
 
     _pause_gateway = _pause
     _pause_upstream = _pause
 
-    def _reload_gateway(self, one: plan_module.Disturbance) -> None:
-        self.note("reloaded", one.target)
-        self.send_signal(one.target, signal.SIGHUP)
+    def _reload_gateway(self, disturbance: plan_module.Disturbance) -> None:
+        self.record_event("reloaded", disturbance.target)
+        self.send_signal(disturbance.target, signal.SIGHUP)
 
-    def _kill_upstream(self, one: plan_module.Disturbance) -> None:
-        self._end(one.target, "killed")
-        eventlet.sleep(one.lasts)
-        self.begin_upstream(one.target)
+    def _kill_upstream(self, disturbance: plan_module.Disturbance) -> None:
+        self._kill_process(disturbance.target, "killed")
+        eventlet.sleep(disturbance.lasts)
+        self.launch_upstream(disturbance.target)
 
-    def _drain_upstream(self, one: plan_module.Disturbance) -> None:
-        self._down.add(one.target)
-        self.note("draining", one.target)
+    def _drain_upstream(self, disturbance: plan_module.Disturbance) -> None:
+        self._down.add(disturbance.target)
+        self.record_event("draining", disturbance.target)
         fleet_module.wait_until(
-            lambda: self.is_answering(one.target, "/control/drain"),
-            _READY_WAIT,
-            one.target,
+            lambda: self.is_answering(disturbance.target, "/control/drain"),
+            _READY_TIMEOUT,
+            disturbance.target,
         )
-        eventlet.sleep(_DRAIN + one.lasts)
-        self._end(one.target, "drained")
-        self.begin_upstream(one.target)
+        eventlet.sleep(_DRAIN_TIME + disturbance.lasts)
+        self._kill_process(disturbance.target, "drained")
+        self.launch_upstream(disturbance.target)
 
-    # -- Looking
+    # -- Queries
 
     def find_gateway(self, front: str) -> str:
-        """Return the gateway at an address for callers."""
+        """Return the name of the gateway that listens at an address."""
         for name, address in self.fronts.items():
             if address == front:
                 return name
         raise KeyError(front)
 
     def read_record(self, name: str) -> list[dict[str, typing.Any]]:
-        """Return what a server wrote, over all its lives."""
+        """Return the lines of a server's record, of all its processes."""
         path = self.path / f"{name}.record"
         lines = path.read_bytes().splitlines() if path.exists() else []
         return [msgspec.json.decode(line) for line in lines]
--- a/soak/skewed.py
+++ b/soak/skewed.py
@@ -1,4 +1,4 @@
-"""Starts a gateway whose time of day is wrong by some seconds.
+"""Runs a program whose wall clock is shifted by some seconds.
 
 python -m soak.skewed SECONDS PROGRAM
 """
@@ -11,7 +11,7 @@
 
 
 def main() -> None:
-    """Shift the time of day and run the program in this process."""
+    """Shift `time.time` and run the program in this process."""
     seconds = float(sys.argv[1])
     true_time = time.time
     true_time_ns = time.time_ns
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: a short run from one seed, and that its checks can fail."""
+"""Tests of the soak: a short run, its plans, and its checks."""
 
 import pathlib
 import subprocess
@@ -12,7 +12,7 @@
 _ROOT = pathlib.Path(__file__).parent.parent
 _SECONDS = 6
 _TIMEOUT = 240
-# Seeds that failed once, each with its cause; they are played as they were.
+# Seeds of runs that once failed, each with the cause in a comment.
 _REGRESSIONS: tuple[int, ...] = ()
 
 
@@ -35,7 +35,10 @@
         self.assertEqual(0, done.returncode, done.stdout + done.stderr)
 
     def test_the_promises_hold_in_a_short_run(self):
-        """Three gateways, ten engines and two services are disturbed."""
+        """Guards against a broken promise under random faults.
+
+        The site has three gateways, ten engines and two services.
+        """
         self.play(1, _SECONDS)
 
     def test_seeds_that_failed_once(self):
@@ -56,11 +59,16 @@
         pairs = list(zip(found, found[1:], strict=False))
         overlapping = [1 for a, b in pairs if b.at < a.at + a.lasts]
         self.assertGreater(len(overlapping), len(found) // 2)
-        self.assertEqual({one.kind for one in found}, set(plan.Kind))
+        self.assertEqual(
+            {disturbance.kind for disturbance in found}, set(plan.Kind)
+        )
 
 
 class PromisesTest(unittest.TestCase):
-    """Each promise is broken once; its check must say so."""
+    """Guards against checks that miss a violation of their promise.
+
+    Each test breaks one promise in the records of a run.
+    """
 
     def setUp(self):
         self.seat = {
@@ -91,7 +99,7 @@
 
     def add(self, target="/unsafe/x", runs=1, at="a1", **fields):
         name = f"r{len(self.attempts)}"
-        given = {
+        defaults = {
             "id": name,
             "method": "POST",
             "target": target,
@@ -99,14 +107,14 @@
             "gateway": "g1",
             "process": "g1#1",
             "began": 20.0,
-            "read": 20.0,
+            "written": 20.0,
             "ended": 20.1,
             "status": 200,
-            "whole": True,
+            "complete": True,
             "seal": "s",
             "answer": f"POST {target} ".encode() + b"1",
         }
-        self.attempts.append(callers.Attempt(**(given | fields)))
+        self.attempts.append(callers.Attempt(**(defaults | fields)))
         run = {
             "attempt": name,
             "method": "POST",
@@ -133,7 +141,7 @@
 
     def assert_broken(self, name):
         found = self.check()
-        self.assertEqual({one.partition(":")[0] for one in found}, {name})
+        self.assertEqual({line.partition(":")[0] for line in found}, {name})
 
     def test_what_is_in_order_passes(self):
         self.add()
@@ -154,7 +162,7 @@
 
     def test_a_piece_of_a_stream_that_is_missing(self):
         answer = b"id: 1\ndata: r0 1\n\nid: 3\ndata: r0 3\n\n"
-        self.add("/stream/x", at="e1", answer=answer, whole=False)
+        self.add("/stream/x", at="e1", answer=answer, complete=False)
         self.assert_broken("answers")
 
     def test_a_booking_that_runs_twice(self):
@@ -205,9 +213,9 @@
 
     def test_a_stop_that_cuts_off_a_request(self):
         self.history.append((20.05, "stopping", "g1"))
-        self.add(status=0, whole=False, failure="RemoteDisconnected")
+        self.add(status=0, complete=False, failure="RemoteDisconnected")
         self.assert_broken("stops")
-        # A server's trouble is no excuse, the gateway's own is.
+        # Only a disturbance of the gateway itself excuses a missing answer.
         self.history.append((20.02, "killed", "a1"))
         self.assert_broken("stops")
         self.history.append((20.06, "killed", "g1"))
