--- a/standins/virtual.py
+++ b/standins/virtual.py
@@ -1,8 +1,9 @@
-"""Small fakes at the node's interfaces, on one virtual clock.
+"""Fakes of all that a node talks to, driven by one virtual clock.
 
-Nodes are the real ones; platform, engines and links are fakes that can
-lose answers, delay, cut, pause and die. Everything that is random comes
-from one seed, so a run repeats to the letter.
+Nodes are the real ones. The platform, engines and links are fakes with
+injected faults: lost answers, latency, cut links, paused and killed
+processes. All random numbers come from one seed, so a run with the same
+seed is the same run.
 """
 
 from collections import abc
@@ -28,18 +29,22 @@
 __all__ = ["Engine", "Host", "Platform", "World", "encode_size"]
 
 Status = messages.PlatformStatus
-_SMALLEST_STEP = 1e-4
+_MIN_TICK_DELAY = 1e-4  # seconds of virtual time
 _KINDS = {kind.value for kind in objects.WATCHED}
 
 
 class Platform:
-    """The object API, with outages and lost answers.
+    """A fake of the platform's object API, with outages and lost answers.
 
     Attributes:
-        down: Whether calls do not reach it.
+        down: Whether calls fail as if it could not be reached.
         lose: Share of writes that take effect but whose answer is lost.
         late: Share of writes whose answer is lost and that take effect
             only after `late_by` seconds.
+        late_by: Delay of late writes, in seconds.
+        delay: Seconds to a call's arrival, and again to its answer.
+        timeout: Seconds until a caller learns that an answer is lost.
+        calls: Number of calls, by the class name of the action.
     """
 
     def __init__(self, world: "World") -> None:
@@ -55,7 +60,7 @@
         self._watches: list[tuple[Host, actions.WatchObjects, float]] = []
 
     def call(self, host: "Host", action: part.Action) -> None:
-        """Take a call of a node."""
+        """Serve a call of a node."""
         kind = type(action).__name__
         self.calls[kind] = self.calls.get(kind, 0) + 1
         if self.down:
@@ -100,7 +105,7 @@
         if version is None:
             return messages.PlatformAnswer(action.call, Status.CONFLICT)
         stored = objects.Stored(action.key, ids.Version(version), action.value)
-        self._world.note_stored(stored)
+        self._world.notify_stored(stored)
         self.wake()
         return messages.PlatformAnswer(
             action.call, Status.OK, (stored,), ids.Version(version)
@@ -128,7 +133,11 @@
         self.wake()
 
     def wake(self) -> None:
-        """Answer the watches that have something to tell."""
+        """Answer the watches that are due.
+
+        A watch is due when it has events, when its revision is no longer
+        kept, when it times out or while the platform is down.
+        """
         waiting, self._watches = self._watches, []
         for host, action, until in waiting:
             found = self.store.select_events(_KINDS, action.since)
@@ -155,11 +164,12 @@
 
 
 class Engine:
-    """One engine instance.
+    """A fake engine instance.
 
     Attributes:
+        listed: Its entry in the instance list.
         alive: Whether the process runs.
-        paused: Whether it stands still, connections open.
+        paused: Whether the process is suspended, with connections open.
     """
 
     def __init__(
@@ -189,14 +199,22 @@
         )
 
     def restart(self) -> None:
-        """Come back empty."""
+        """Start a new process, without an order or a loaded model."""
         self.alive = True
         self.paused = False
         self.model = self._start()
 
 
 class Host:
-    """One entry process."""
+    """One entry process: a real node with faked input and output.
+
+    Attributes:
+        replies: Answers to the requests of operators and callers, by
+            ticket.
+        trace: Time, message and resulting actions, if the world traces.
+        records: Timeline records of the node with their times.
+        counts: Sums of the node's counters, by `counter/label`.
+    """
 
     def __init__(
         self,
@@ -209,10 +227,10 @@
         self._policy = policy
         self.alive = True
         self.paused = False
-        self._held: list[
+        self._deferred: list[
             tuple[abc.Callable[..., None], tuple[object, ...]]
         ] = []
-        self._ticking: float | None = None
+        self._tick_at: float | None = None
         self.replies: dict[int, object] = {}
         self.trace: list[tuple[float, part.Message, list[part.Action]]] = []
         self.records: list[tuple[float, actions.Record]] = []
@@ -224,7 +242,7 @@
         node = node_module.Node(
             self.settings, incarnation, self._world.now, self._policy
         )
-        self._world.after(0.0, self._tick_if, node)
+        self._world.after(0.0, self._schedule_first_tick, node)
         return node
 
     @property
@@ -237,25 +255,25 @@
     def kill(self) -> None:
         """End the process."""
         self.alive = False
-        self._ticking = None
+        self._tick_at = None
 
     def restart(self) -> None:
         """Start a new process in its place."""
         self.alive = True
         self.paused = False
-        self._held.clear()
-        self._ticking = None
+        self._deferred.clear()
+        self._tick_at = None
         self.node = self._start()
 
     def pause(self) -> None:
-        """Stand still; what comes meanwhile waits."""
+        """Suspend the process; its input is deferred until it resumes."""
         self.paused = True
 
     def resume(self) -> None:
-        """Go on with all that came meanwhile."""
+        """Resume the process and handle its deferred input."""
         self.paused = False
-        held, self._held = self._held, []
-        for function, arguments in held:
+        deferred, self._deferred = self._deferred, []
+        for function, arguments in deferred:
             function(*arguments)
         self._schedule()
 
@@ -266,23 +284,23 @@
         if not self.alive:
             return
         if self.paused:
-            self._held.append((self.tell, (message,)))
+            self._deferred.append((self.tell, (message,)))
             return
         found = self.node.handle(message, self._world.now)
-        self._perform(message, found)
+        self._perform_all(message, found)
 
     def receive(self, envelope: wire.Envelope) -> None:
         """Give the node an envelope."""
         if not self.alive:
             return
         if self.paused:
-            self._held.append((self.receive, (envelope,)))
+            self._deferred.append((self.receive, (envelope,)))
             return
         found = self.node.receive(envelope, self._world.now)
         received = messages.Received(envelope.sender, envelope.body)
-        self._perform(received, found)
+        self._perform_all(received, found)
 
-    def _perform(
+    def _perform_all(
         self, message: part.Message, found: list[part.Action]
     ) -> None:
         if self._world.tracing:
@@ -292,7 +310,7 @@
         self._schedule()
 
     def perform(self, found: list[part.Action]) -> None:
-        """Carry out actions that were asked for from outside."""
+        """Carry out actions that no message or tick resulted in."""
         for action in found:
             self._world.perform(self, action)
         self._schedule()
@@ -301,27 +319,38 @@
         due = self.node.due()
         if due is None or not self.alive or self.paused:
             return
-        at = max(due, self._world.now + _SMALLEST_STEP)
-        if self._ticking is None or at < self._ticking - 1e-9:
-            self._ticking = at
+        at = max(due, self._world.now + _MIN_TICK_DELAY)
+        if self._tick_at is None or at < self._tick_at - 1e-9:
+            self._tick_at = at
             self._world.at(at, self._tick, at)
 
     def _tick(self, planned: float) -> None:
-        if self._ticking != planned:
+        if self._tick_at != planned:
             return
-        self._ticking = None
+        self._tick_at = None
         if self.alive and not self.paused:
-            self._perform(
+            self._perform_all(
                 part.Tick(), self.node.handle(part.Tick(), self._world.now)
             )
 
-    def _tick_if(self, node: node_module.Node) -> None:
+    def _schedule_first_tick(self, node: node_module.Node) -> None:
         if self.node is node:
             self._schedule()
 
 
 class World:
-    """The virtual clock, the fakes and the nodes."""
+    """The virtual clock, the fakes and the nodes.
+
+    Attributes:
+        now: The virtual time in seconds.
+        start_time: Seconds that a new group needs to start.
+        link_delay: Minimum latency of a link in seconds; uniform jitter of
+            up to as much again is added.
+        link_loss: Share of envelopes that links lose.
+        cut: Returns whether the link between two names is cut.
+        on_send: Called with each body that a node sends.
+        on_stored: Called with each object version that is stored.
+    """
 
     def __init__(self, seed: int = 1, tracing: bool = False) -> None:
         self.now = 0.0
@@ -353,7 +382,7 @@
         function: abc.Callable[..., object],
         *arguments: object,
     ) -> None:
-        """Call a function at a time."""
+        """Call a function at a virtual time."""
         entry = (time, next(self._order), function, arguments)
         heapq.heappush(self._queue, entry)
 
@@ -372,11 +401,11 @@
         stop: abc.Callable[[], bool] | None = None,
         check: abc.Callable[[], None] | None = None,
     ) -> None:
-        """Work off what is due up to a time.
+        """Run the scheduled calls that are due up to a virtual time.
 
         Args:
-            until: Where to stop.
-            stop: Ends the run early when it returns true.
+            until: Virtual time to stop at, in seconds.
+            stop: Called after every step; ends the run if it returns true.
             check: Called after every step.
         """
         while self._queue and self._queue[0][0] <= until:
@@ -389,7 +418,7 @@
                 return
         self.now = max(self.now, until)
 
-    # -- Who there is
+    # -- Hosts and instances
 
     def add_host(
         self, settings: settings_module.Settings, policy: str = "weighted"
@@ -427,19 +456,19 @@
         return engine
 
     def list_instance(self, listed: instances.Instance) -> None:
-        """Put an instance on the list, or change its line."""
+        """Add an instance to the list, or replace its entry."""
         self.list_revision += 1
         self.listed[listed.id] = (listed, self.list_revision)
 
     def unlist_instance(self, name: ids.InstanceId) -> None:
-        """Take an instance off the list."""
+        """Remove an instance from the list."""
         if self.listed.pop(name, None) is not None:
             self.list_revision += 1
 
     def list_instances(
         self, action: actions.ListInstances
     ) -> messages.InstancesListed:
-        """Return the list, or that it is unchanged."""
+        """Return the list, or an answer that it is unchanged."""
         call = action.call
         if action.since == self.list_revision:
             revision = ids.Version(self.list_revision)
@@ -447,15 +476,15 @@
                 call, Status.OK, (), revision, True
             )
         listed = tuple(
-            (one, ids.Version(version))
-            for one, version in self.listed.values()
+            (instance, ids.Version(version))
+            for instance, version in self.listed.values()
         )
         return messages.InstancesListed(
             call, Status.OK, listed, ids.Version(self.list_revision)
         )
 
-    def note_stored(self, stored: objects.Stored) -> None:
-        """Tell whoever wants to see every stored version."""
+    def notify_stored(self, stored: objects.Stored) -> None:
+        """Call the listeners for stored versions."""
         for listener in self.on_stored:
             listener(stored)
 
@@ -468,7 +497,7 @@
         elif isinstance(action, actions.Probe):
             self._probe(host, action)
         elif isinstance(action, actions.SendOrder):
-            self._order_engine(host, action)
+            self._send_order(host, action)
         elif isinstance(action, actions.Record):
             host.records.append((self.now, action))
         elif isinstance(action, actions.Count):
@@ -494,10 +523,10 @@
         if self.random.random() < self.link_loss:
             return
         known = host.node.nodes.get(action.to)
-        me = host.node.nodes.me
+        local = host.node.nodes.me
         envelope = wire.Envelope(
-            sender=me.id,
-            incarnation=me.incarnation,
+            sender=local.id,
+            incarnation=local.incarnation,
             sent=self.now,
             body=action.body,
             to_incarnation=known.incarnation if known else 0,
@@ -522,18 +551,20 @@
             )
             self.after(2 * self.link_delay, host.tell, answer)
 
-    def _order_engine(self, host: Host, action: actions.SendOrder) -> None:
+    def _send_order(self, host: Host, action: actions.SendOrder) -> None:
         outcomes = messages.OrderOutcome
         order = action.order
         outcome = outcomes.LOST
         if self.now + order.lifetime >= action.deadline:
             outcome = outcomes.EXPIRED
         elif not self.cut(host.name, action.instance):
-            outcome = self._give(action)
+            outcome = self._deliver_order(action)
         answer = messages.OrderAnswered(action.instance, order.epoch, outcome)
         self.after(2 * self.link_delay, host.tell, answer)
 
-    def _give(self, action: actions.SendOrder) -> messages.OrderOutcome:
+    def _deliver_order(
+        self, action: actions.SendOrder
+    ) -> messages.OrderOutcome:
         outcomes = messages.OrderOutcome
         engine = self.engines.get(action.instance)
         if engine is None or not engine.alive or engine.paused:
@@ -543,5 +574,5 @@
 
 
 def encode_size(body: wire.Body) -> int:
-    """Return the bytes of a body on the wire, without its envelope."""
+    """Return the size in bytes of an encoded body, without its envelope."""
     return len(msgspec.msgpack.encode(body))
