--- a/bench/surge.py
+++ b/bench/surge.py
@@ -29,10 +29,10 @@
     """Return the part of a surge's requests that is in time."""
     shares = []
     for seed in _SEEDS:
-        replay = surge.Replay(policy, seed=seed)
+        simulation = surge.Simulation(policy, seed=seed)
         load = surge.Surge(rate=_RATE, factor=factor)
-        replay.run(load)
-        shares.append(replay.share_in_time(load.begin, load.end))
+        simulation.run(load)
+        shares.append(simulation.compute_share_in_time(load.begin, load.end))
     return statistics.fmean(shares)
 
 
--- a/standins/surge.py
+++ b/standins/surge.py
@@ -27,7 +27,7 @@
     "KIND",
     "TIMING",
     "Policy",
-    "Replay",
+    "Simulation",
     "Surge",
     "make_leader",
     "make_ticket",
@@ -124,7 +124,7 @@
     seconds: float = 26.0
 
 
-class Replay:
+class Simulation:
     """Requests, gateways and replicas in virtual time."""
 
     def __init__(
@@ -182,7 +182,7 @@
             now, _, callback, arguments = heapq.heappop(self._events)
             callback(now, *arguments)
 
-    def share_in_time(self, begin: float, end: float) -> float:
+    def compute_share_in_time(self, begin: float, end: float) -> float:
         """Return the share of a period's requests that were in time."""
         arrived_count = sum(begin <= at < end for at in self.arrivals)
         in_time_count = sum(
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -27,9 +27,9 @@
     """
 
     def play(self, factor, seed):
-        replay = surge.Replay(surge.Policy.WAITS, seed=seed)
-        replay.run(surge.Surge(rate=39.0, factor=factor))
-        return replay
+        simulation = surge.Simulation(surge.Policy.WAITS, seed=seed)
+        simulation.run(surge.Surge(rate=39.0, factor=factor))
+        return simulation
 
     def test_most_are_in_time_while_twice_as_many_come(self):
         """Guards against nine in ten callers being answered too late.
@@ -38,13 +38,13 @@
         ones wait behind them.
         """
         for seed in (1, 2, 3):
-            share = self.play(2.0, seed).share_in_time(8.0, 16.0)
+            share = self.play(2.0, seed).compute_share_in_time(8.0, 16.0)
             self.assertGreater(share, 0.6, seed)
 
     def test_requests_are_in_time_a_second_after_the_load(self):
         """Guards against callers waiting six seconds after the load ended."""
         for seed in (1, 2, 3):
-            share = self.play(2.0, seed).share_in_time(17.0, 26.0)
+            share = self.play(2.0, seed).compute_share_in_time(17.0, 26.0)
             self.assertGreater(share, 0.95, seed)
 
     def test_nothing_is_refused_while_slots_are_free(self):
@@ -53,9 +53,11 @@
         Counts that are a moment old make replicas look full.
         """
         for seed in (1, 2, 3):
-            replay = self.play(1.0, seed)
-            self.assertEqual(replay.refused, [])
-            self.assertGreater(replay.share_in_time(0.0, 26.0), 0.98)
+            simulation = self.play(1.0, seed)
+            self.assertEqual(simulation.refused, [])
+            self.assertGreater(
+                simulation.compute_share_in_time(0.0, 26.0), 0.98
+            )
 
 
 class BacklogTest(unittest.TestCase):
