--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -143,7 +143,7 @@
         found = self.check()
         self.assertEqual({line.partition(":")[0] for line in found}, {name})
 
-    def test_what_is_in_order_passes(self):
+    def test_records_without_a_violation_pass(self):
         self.add()
         self.add(status=503, runs=0, seal="", answer=b"")
         answer = b"".join(
@@ -156,20 +156,20 @@
         self.add(answer=b"POST /unsafe/x 2")
         self.assert_broken("answers")
 
-    def test_half_an_answer_as_whole(self):
+    def test_a_truncated_answer_as_complete(self):
         self.add(answer=b"POST ")
         self.assert_broken("answers")
 
-    def test_a_piece_of_a_stream_that_is_missing(self):
+    def test_a_stream_with_a_missing_event(self):
         answer = b"id: 1\ndata: r0 1\n\nid: 3\ndata: r0 3\n\n"
         self.add("/stream/x", at="e1", answer=answer, complete=False)
         self.assert_broken("answers")
 
-    def test_a_booking_that_runs_twice(self):
+    def test_an_unsafe_request_that_runs_twice(self):
         self.add(runs=2)
         self.assert_broken("runs")
 
-    def test_a_refusal_that_is_not_true(self):
+    def test_a_refused_request_that_ran(self):
         self.add(status=503)
         self.assert_broken("runs")
 
@@ -195,23 +195,23 @@
         self.history.append((2.5, "killed", "e1"))
         self.assertEqual(self.check(), [])
 
-    def test_a_configuration_that_goes_back(self):
+    def test_a_gateway_that_reverts_a_configuration(self):
         self.add("/v1/x")
         self.add("/v1/x", runs=0, began=21.0, status=404)
         self.assert_broken("configuration")
 
-    def test_a_configuration_that_comes_too_late(self):
+    def test_a_configuration_that_is_applied_too_late(self):
         self.add("/v1/x", runs=0, status=404)
         self.assert_broken("configuration")
         self.history.append((19.0, "paused", "g1"))
         self.assertEqual(self.check(), [])
 
-    def test_a_leaving_server_that_gets_requests(self):
+    def test_a_draining_server_that_gets_requests(self):
         self.records["a1"].append({"at": 5.0, "what": "drain"})
         self.add()
         self.assert_broken("leaving")
 
-    def test_a_stop_that_cuts_off_a_request(self):
+    def test_a_planned_stop_that_cuts_a_request(self):
         self.history.append((20.05, "stopping", "g1"))
         self.add(status=0, complete=False, failure="RemoteDisconnected")
         self.assert_broken("stops")
