--- a/standins/virtual.py
+++ b/standins/virtual.py
@@ -286,8 +286,8 @@
         if self.paused:
             self._deferred.append((self.tell, (message,)))
             return
-        found = self.node.handle(message, self._world.now)
-        self._perform_all(message, found)
+        resulting = self.node.handle(message, self._world.now)
+        self._perform_all(message, resulting)
 
     def receive(self, envelope: wire.Envelope) -> None:
         """Give the node an envelope."""
@@ -296,22 +296,22 @@
         if self.paused:
             self._deferred.append((self.receive, (envelope,)))
             return
-        found = self.node.receive(envelope, self._world.now)
+        resulting = self.node.receive(envelope, self._world.now)
         received = messages.Received(envelope.sender, envelope.body)
-        self._perform_all(received, found)
+        self._perform_all(received, resulting)
 
     def _perform_all(
-        self, message: part.Message, found: list[part.Action]
+        self, message: part.Message, resulting: list[part.Action]
     ) -> None:
         if self._world.tracing:
-            self.trace.append((self._world.now, message, found))
-        for action in found:
+            self.trace.append((self._world.now, message, resulting))
+        for action in resulting:
             self._world.perform(self, action)
         self._schedule()
 
-    def perform(self, found: list[part.Action]) -> None:
+    def perform(self, requested: list[part.Action]) -> None:
         """Carry out actions that no message or tick resulted in."""
-        for action in found:
+        for action in requested:
             self._world.perform(self, action)
         self._schedule()
 
