--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: a short run from one seed, and that its checks can fail."""
+"""Tests of the soak: a short run, its plans, and its checks."""
 
 import pathlib
 import subprocess
@@ -12,7 +12,7 @@
 _ROOT = pathlib.Path(__file__).parent.parent
 _SECONDS = 6
 _TIMEOUT = 240
-# Seeds that failed once, each with its cause; they are played as they were.
+# Seeds of runs that once failed, each with the cause in a comment.
 _REGRESSIONS: tuple[int, ...] = ()
 
 
@@ -35,7 +35,10 @@
         self.assertEqual(0, done.returncode, done.stdout + done.stderr)
 
     def test_the_promises_hold_in_a_short_run(self):
-        """Three gateways, ten engines and two services are disturbed."""
+        """Guards against a broken promise under random faults.
+
+        The site has three gateways, ten engines and two services.
+        """
         self.play(1, _SECONDS)
 
     def test_seeds_that_failed_once(self):
@@ -56,11 +59,16 @@
         pairs = list(zip(found, found[1:], strict=False))
         overlapping = [1 for a, b in pairs if b.at < a.at + a.lasts]
         self.assertGreater(len(overlapping), len(found) // 2)
-        self.assertEqual({one.kind for one in found}, set(plan.Kind))
+        self.assertEqual(
+            {disturbance.kind for disturbance in found}, set(plan.Kind)
+        )
 
 
 class PromisesTest(unittest.TestCase):
-    """Each promise is broken once; its check must say so."""
+    """Guards against checks that miss a violation of their promise.
+
+    Each test breaks one promise in the records of a run.
+    """
 
     def setUp(self):
         self.seat = {
@@ -91,7 +99,7 @@
 
     def add(self, target="/unsafe/x", runs=1, at="a1", **fields):
         name = f"r{len(self.attempts)}"
-        given = {
+        defaults = {
             "id": name,
             "method": "POST",
             "target": target,
@@ -99,14 +107,14 @@
             "gateway": "g1",
             "process": "g1#1",
             "began": 20.0,
-            "read": 20.0,
+            "written": 20.0,
             "ended": 20.1,
             "status": 200,
-            "whole": True,
+            "complete": True,
             "seal": "s",
             "answer": f"POST {target} ".encode() + b"1",
         }
-        self.attempts.append(callers.Attempt(**(given | fields)))
+        self.attempts.append(callers.Attempt(**(defaults | fields)))
         run = {
             "attempt": name,
             "method": "POST",
@@ -133,9 +141,9 @@
 
     def assert_broken(self, name):
         found = self.check()
-        self.assertEqual({one.partition(":")[0] for one in found}, {name})
+        self.assertEqual({line.partition(":")[0] for line in found}, {name})
 
-    def test_what_is_in_order_passes(self):
+    def test_records_without_a_violation_pass(self):
         self.add()
         self.add(status=503, runs=0, seal="", answer=b"")
         answer = b"".join(
@@ -148,20 +156,20 @@
         self.add(answer=b"POST /unsafe/x 2")
         self.assert_broken("answers")
 
-    def test_half_an_answer_as_whole(self):
+    def test_a_truncated_answer_as_complete(self):
         self.add(answer=b"POST ")
         self.assert_broken("answers")
 
-    def test_a_piece_of_a_stream_that_is_missing(self):
+    def test_a_stream_with_a_missing_event(self):
         answer = b"id: 1\ndata: r0 1\n\nid: 3\ndata: r0 3\n\n"
-        self.add("/stream/x", at="e1", answer=answer, whole=False)
+        self.add("/stream/x", at="e1", answer=answer, complete=False)
         self.assert_broken("answers")
 
-    def test_a_booking_that_runs_twice(self):
+    def test_an_unsafe_request_that_runs_twice(self):
         self.add(runs=2)
         self.assert_broken("runs")
 
-    def test_a_refusal_that_is_not_true(self):
+    def test_a_refused_request_that_ran(self):
         self.add(status=503)
         self.assert_broken("runs")
 
@@ -187,27 +195,27 @@
         self.history.append((2.5, "killed", "e1"))
         self.assertEqual(self.check(), [])
 
-    def test_a_configuration_that_goes_back(self):
+    def test_a_gateway_that_reverts_a_configuration(self):
         self.add("/v1/x")
         self.add("/v1/x", runs=0, began=21.0, status=404)
         self.assert_broken("configuration")
 
-    def test_a_configuration_that_comes_too_late(self):
+    def test_a_configuration_that_is_applied_too_late(self):
         self.add("/v1/x", runs=0, status=404)
         self.assert_broken("configuration")
         self.history.append((19.0, "paused", "g1"))
         self.assertEqual(self.check(), [])
 
-    def test_a_leaving_server_that_gets_requests(self):
+    def test_a_draining_server_that_gets_requests(self):
         self.records["a1"].append({"at": 5.0, "what": "drain"})
         self.add()
         self.assert_broken("leaving")
 
-    def test_a_stop_that_cuts_off_a_request(self):
+    def test_a_planned_stop_that_cuts_a_request(self):
         self.history.append((20.05, "stopping", "g1"))
-        self.add(status=0, whole=False, failure="RemoteDisconnected")
+        self.add(status=0, complete=False, failure="RemoteDisconnected")
         self.assert_broken("stops")
-        # A server's trouble is no excuse, the gateway's own is.
+        # Only a disturbance of the gateway itself excuses a missing answer.
         self.history.append((20.02, "killed", "a1"))
         self.assert_broken("stops")
         self.history.append((20.06, "killed", "g1"))
