--- a/currantwall/cli/stops.py
+++ b/currantwall/cli/stops.py
@@ -19,7 +19,7 @@
 app = typer.Typer(help="Planned stops: drain first, cut no request.")
 Json = typing.Annotated[bool, typer.Option("--json", help="Print JSON.")]
 _STOPS_PATH = "/v1/admin/stops"
-# Seconds between two looks at a stop that is waited for.
+# Seconds between two reads of a stop with `--wait`.
 _POLL_INTERVAL = 1.0
 
 
--- a/currantwall/transport/exchanges.py
+++ b/currantwall/transport/exchanges.py
@@ -50,6 +50,7 @@
 _MAX_IDLE = 8
 # Messages in an inbox above which the upstream is not read.
 _INBOX_LIMIT = 64
+# Most bytes read at once.
 _READ_SIZE = 65_536
 
 Headers = list[tuple[str, str]]
@@ -104,7 +105,8 @@
     Attributes:
         may_have_sent: Whether part of the request may have reached the
             upstream.
-        step: What failed: connect, send, head or body.
+        step: What failed: connect, send, head or body; `verdict` if the
+            gateway aborted the attempt because its replica lost a member.
     """
 
     exchange: int
--- a/currantwall/transport/green.py
+++ b/currantwall/transport/green.py
@@ -18,8 +18,8 @@
     Args:
         threads: Whether to patch threads and locks. Not needed in a process
             that has no threads and holds no lock while it waits for the
-            network. Skipping it saves time, because replacing the existing
-            locks takes a look at every object of the process.
+            network. Skipping it saves time, because eventlet examines every
+            object of the process to replace the existing locks.
         processes: Whether to patch waiting for child processes. A process
             that starts none need not load the modules for that.
     """
--- a/currantwall/transport/heartbeats.py
+++ b/currantwall/transport/heartbeats.py
@@ -20,7 +20,7 @@
 __all__ = ["Heartbeats"]
 
 # Seconds between two heartbeats. 13 nodes send 400 datagrams a second in
-# all. A killed node is avoided after a little more than three intervals.
+# all. A killed node is avoided after three intervals and half a second.
 _HEARTBEAT_INTERVAL = 0.4
 # Shortest time in seconds between a heartbeat and one that is sent early
 # because of an urgent report.
--- a/currantwall/transport/news.py
+++ b/currantwall/transport/news.py
@@ -1,7 +1,7 @@
-"""Composes this node's heartbeats and handles those of other nodes.
+"""Composes this node's reports and handles those of other nodes.
 
-The same holds for digests and alarms. Who receives which message is
-decided in `coordination.peers.digests`.
+Reports are sent as heartbeats, digests and alarms. Which node receives
+which message is decided in `coordination.peers.digests`.
 """
 
 from collections import abc
--- a/currantwall/transport/splice.py
+++ b/currantwall/transport/splice.py
@@ -30,6 +30,7 @@
 _EPOLLHUP = _select.EPOLLHUP
 _EPOLLRDHUP = _select.EPOLLRDHUP
 
+# Most bytes received at once.
 _RECEIVE_SIZE = 65_536
 _LAST_CHUNK = b"\r\n0\r\n\r\n"
 _DONE_EVENT = b"data: [DONE]"
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -273,7 +273,10 @@
         self.connections.give_back.assert_not_called()
 
     def test_an_unreadable_pace_does_not_invalidate_the_report(self):
-        """Guards against a healthy server that counts as silent."""
+        """Guards against a healthy server that counts as silent.
+
+        Its replica would be dissolved, too.
+        """
         for value, pace in ((b"12.0", 12.0), (b'"x"', 1.0), (b"null", 1.0)):
             answer = client.Answer(200, b'{"pace":' + value + b"}", 3.0)
             found = self.report(False, return_value=answer)
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -430,7 +430,10 @@
             self.assertEqual(node.engines.orders, [])
 
     def test_a_node_that_hears_nobody_tells_no_losses(self):
-        """Guards against a node that is cut off and reports every instance."""
+        """Guards against losses reported by a node that is cut off.
+
+        It reaches no instance and took all of them for lost.
+        """
         (holder,) = self.world.list_holders()
         for node in self.world.nodes.values():
             node.paused = node.name != holder
--- a/tests/test_feeds.py
+++ b/tests/test_feeds.py
@@ -565,7 +565,8 @@
         self.send_heartbeats()
         self.follow()
         for _ in range(4):
-            # The reader hears nobody; the follower hears other readers.
+            # The reader receives no heartbeats; the follower receives those
+            # of other readers.
             self.clock.time += 0.25
             self.read_store(result.Err(Failure.LOST))
             self.clock.time += 0.25
--- a/tests/test_ingress.py
+++ b/tests/test_ingress.py
@@ -37,7 +37,7 @@
     def test_an_error_in_the_handler_is_answered_and_reported(self):
         """Failure: the connection closes without an answer or a log line.
 
-        The handler raises an exception that it does not expect.
+        The handler raises an unexpected exception, which must be reported.
         """
 
         def fail(inbound):
