--- a/currantwall/transport/duties.py
+++ b/currantwall/transport/duties.py
@@ -416,10 +416,13 @@
         eventlet.spawn_n(self._run_probe, domain, upstream, known.missed > 0)
 
     def _run_probe(
-        self, domain: _Domain, upstream: upstreams.Upstream, fresh: bool
+        self,
+        domain: _Domain,
+        upstream: upstreams.Upstream,
+        new_connection: bool,
     ) -> None:
         try:
-            found = self._engines.report(upstream, fresh)
+            found = self._engines.report(upstream, new_connection)
         finally:
             domain.probes_in_flight.discard(upstream.id)
         self._meter.add("currantwall.probes", 1)
--- a/currantwall/transport/ports.py
+++ b/currantwall/transport/ports.py
@@ -123,13 +123,13 @@
     """Sends orders and probes to engine instances."""
 
     def report(
-        self, upstream: upstreams.Upstream, fresh: bool
+        self, upstream: upstreams.Upstream, new_connection: bool
     ) -> upstreams.Upstream | knowledge.ProbeResult:
         """Probe an instance.
 
         Args:
             upstream: The instance.
-            fresh: Whether to use a new connection.
+            new_connection: Whether to use a new connection.
 
         Returns:
             The instance as it reports itself, or how the probe failed.
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -248,9 +248,9 @@
             [ports.StoredObject("i-1", 1, msgspec.json.encode(ENTRY))]
         )[0]
 
-    def report(self, fresh, **answer):
+    def report(self, new_connection, **answer):
         with mock.patch.object(client, "send", **answer):
-            return self.engines.report(self.upstream, fresh)
+            return self.engines.report(self.upstream, new_connection)
 
     def test_a_probe_after_a_missed_one_uses_a_new_connection(self):
         """Guards against dissolving a healthy replica.
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -204,7 +204,7 @@
         self.pace = 1.0
         self.orders = []
 
-    def report(self, upstream, fresh):
+    def report(self, upstream, new_connection):
         if self.silent:
             return knowledge.ProbeResult.SILENT
         return msgspec.structs.replace(
