--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -248,9 +248,9 @@
             [ports.StoredObject("i-1", 1, msgspec.json.encode(ENTRY))]
         )[0]
 
-    def report(self, fresh, **answer):
+    def report(self, new_connection, **answer):
         with mock.patch.object(client, "send", **answer):
-            return self.engines.report(self.upstream, fresh)
+            return self.engines.report(self.upstream, new_connection)
 
     def test_a_probe_after_a_missed_one_uses_a_new_connection(self):
         """Guards against dissolving a healthy replica.
@@ -273,7 +273,10 @@
         self.connections.give_back.assert_not_called()
 
     def test_an_unreadable_pace_does_not_invalidate_the_report(self):
-        """Guards against a healthy server that counts as silent."""
+        """Guards against a healthy server that counts as silent.
+
+        Its replica would be dissolved, too.
+        """
         for value, pace in ((b"12.0", 12.0), (b'"x"', 1.0), (b"null", 1.0)):
             answer = client.Answer(200, b'{"pace":' + value + b"}", 3.0)
             found = self.report(False, return_value=answer)
