--- a/currantwall/coordination/messages.py
+++ b/currantwall/coordination/messages.py
@@ -146,7 +146,7 @@
     REFUSED = "refused"
     # Not sent, because its deadline had passed.
     EXPIRED = "expired"
-    # The engine may or may not have received it.
+    # The engine may or may not carry it out.
     LOST = "lost"
 
 
--- a/currantwall/coordination/profiles/configuration.py
+++ b/currantwall/coordination/profiles/configuration.py
@@ -34,8 +34,8 @@
 # Seconds after its start that a node which has read the platform waits
 # for a peer with the same objects before it is ready without one.
 _PEER_TIMEOUT = 3.0
-# Kinds that operators edit: nodes acknowledge their changes, and the time
-# line records them.
+# Kinds that operators edit: nodes acknowledge their changes, and the
+# timeline records them.
 _OPERATOR_KINDS = (objects.Kind.PROFILES.value, objects.Kind.STOPS.value)
 
 
--- a/currantwall/coordination/profiles/edits.py
+++ b/currantwall/coordination/profiles/edits.py
@@ -3,8 +3,10 @@
 An edit is one conditional update. It is *accepted* when it is stored and
 every live node has acknowledged it. When some nodes have not by the
 deadline, the answer names them. After an update whose answer was lost,
-the object is read back: if it has the same value at a newer version, the
-edit was stored.
+the object is read back: if it has the edit's value at another version than
+expected, the edit was stored.
+
+A node counts as live here once it has been seen and until it is found dead.
 """
 
 import enum
--- a/currantwall/coordination/replicas/controller.py
+++ b/currantwall/coordination/replicas/controller.py
@@ -85,8 +85,9 @@
         self._taken_at = 0.0
         self._holding = False
         self._releasing = False
-        # After a write whose answer was lost, the ledger must be read and
-        # then written again before any decision is based on it.
+        # After a lost answer the ledger is read before the next plan. If the
+        # call was a write, the ledger is then written again before any share
+        # is changed: only a newer version makes the lost write fail.
         self._must_read = False
         self._must_write = False
         self._sightings = sightings.Sightings(name, view, settings)
--- a/currantwall/coordination/replicas/controllers.py
+++ b/currantwall/coordination/replicas/controllers.py
@@ -101,7 +101,8 @@
 
     def _list_domains(self) -> dict[ids.DomainName, ids.DatacentreName]:
         datacentres = {
-            held.name: held.datacentre for held in self._view.domains.values()
+            ledger.name: ledger.datacentre
+            for ledger in self._view.domains.values()
         }
         for listed in self._view.instances.values():
             if listed.kind is instances.InstanceKind.ENGINE:
--- a/currantwall/coordination/replicas/evidence.py
+++ b/currantwall/coordination/replicas/evidence.py
@@ -122,8 +122,9 @@
         """Return whether evidence proves that a replica is broken.
 
         A broken verdict counts until its observer sends another one or
-        sends none for two evidence TTLs. A silent verdict is no proof: a
-        newer probe of every member by the other observer outweighs it.
+        sends none for two evidence TTLs. A silent verdict is no proof: it
+        only replaces its observer's own evidence that the replica is whole,
+        and the other observer's evidence still counts until it expires.
         """
         if evidence.verdict is not wire.Verdict.BROKEN:
             return False
--- a/currantwall/coordination/replicas/leases.py
+++ b/currantwall/coordination/replicas/leases.py
@@ -13,8 +13,8 @@
 
 __all__ = ["LeaseTracker", "is_candidate", "may_take"]
 
-# Number of writes whose send time is kept. A lease that is confirmed by a
-# later read counts from then.
+# Number of writes whose send time is kept. If a lease is confirmed only by a
+# later read, its TTL counts from the send time of the write that is stored.
 _SENT_WRITE_LIMIT = 8
 # Number of nodes that may try to take a lease, one after the other. The
 # store may refuse a third of the nodes while it serves the others. With six
--- a/currantwall/coordination/replicas/observation.py
+++ b/currantwall/coordination/replicas/observation.py
@@ -1,7 +1,8 @@
 """Probing upstream instances and publishing verdicts on replicas.
 
-Each replica has two observers among the entry nodes, and each engine has
-one, chosen by rendezvous hash in its data centre. An observer asks every
+Each replica and each service instance has two observers among the entry
+nodes, and each engine, in a replica or not, has one. They are chosen by
+rendezvous hash in its data centre. An observer of a replica asks every
 member for its report, derives a verdict on the replica and publishes it:
 a verdict that is unchanged goes with the next batch, a changed one is
 sent at once. The state of each instance is sent to the holder of the
--- a/currantwall/coordination/replicas/placement.py
+++ b/currantwall/coordination/replicas/placement.py
@@ -249,7 +249,7 @@
 
 
 def _finish_drains(situation: Situation) -> domain.Domain:
-    """Dissolve or renew replicas that are drained or lost a member."""
+    """Dissolve or renew replicas whose drain ended or that lost a member."""
     ledger = situation.ledger
     for replica in ledger.replicas:
         if replica.phase is not Phase.DRAINING:
--- a/currantwall/coordination/replicas/sightings.py
+++ b/currantwall/coordination/replicas/sightings.py
@@ -102,21 +102,21 @@
             now: The time.
         """
         members: dict[ids.InstanceId, placement.Member] = {}
-        leaving = _list_stop_targets(self._view.stops.values())
+        stop_targets = _list_stop_targets(self._view.stops.values())
         for listed in self._view.list_engines(self._domain):
             last = self._last_sightings.get(listed.id)
             health, lost_seconds = self._classify(last, taken_at, now)
-            stopping = not leaving.isdisjoint(
+            stopping = not stop_targets.isdisjoint(
                 (listed.id, listed.domain, listed.datacentre)
             )
-            gone = listed.state is instances.InstanceState.LEAVING
+            removing = listed.state is instances.InstanceState.LEAVING
             members[listed.id] = placement.Member(
                 id=listed.id,
                 accelerators=listed.accelerators,
                 health=health,
                 report=last.report if last else None,
                 lost_seconds=lost_seconds,
-                leaving=stopping or gone,
+                leaving=stopping or removing,
             )
         return members
 
--- a/currantwall/coordination/stops/stopping.py
+++ b/currantwall/coordination/stops/stopping.py
@@ -86,8 +86,8 @@
         }
         affected = [
             replica
-            for fabric_domain in self._view.domains.values()
-            for replica in fabric_domain.replicas
+            for ledger in self._view.domains.values()
+            for replica in ledger.replicas
             if not covered.isdisjoint(replica.members)
         ]
         if affected:
--- a/currantwall/coordination/wire.py
+++ b/currantwall/coordination/wire.py
@@ -61,9 +61,9 @@
 class Scope(enum.Enum):
     """Hop of a bundle on its way to all nodes."""
 
-    # To a relay of the sender's data centre.
+    # To the relays of the sender's data centre.
     UP = "up"
-    # From that relay to the relays of other data centres.
+    # From a relay to one relay of each other data centre.
     ACROSS = "across"
     # From a relay to the nodes of its data centre.
     DOWN = "down"
@@ -204,7 +204,10 @@
 
 
 class Doubt(msgspec.Struct, frozen=True, tag="doubt"):
-    """Asks for a probe, at once, of a node in the receiver's data centre."""
+    """Asks for an immediate probe of a node that does not answer the sender.
+
+    The receiver is a relay of that node's data centre.
+    """
 
     target: ids.NodeId
 
--- a/currantwall/state/profile.py
+++ b/currantwall/state/profile.py
@@ -54,6 +54,7 @@
         stranded_weight: Cost of one accelerator-second held by no
             serving replica.
         concurrency: Maximum number of requests in flight per replica.
+        price: Cost of one accelerator hour, for the forecast.
     """
 
     name: ids.ProfileName
--- a/currantwall/state/settings.py
+++ b/currantwall/state/settings.py
@@ -93,7 +93,8 @@
 
     Attributes:
         epoch_checked: Whether the engines refuse an old fencing number.
-        evidence_ttl: Age at which evidence is discarded.
+        evidence_ttl: Age after which evidence that a replica is whole no
+            longer counts.
         load_time: Expected time to load a model on one instance.
         loads: Replicas that one domain loads at a time, so that all
             domains together stay below the rate of the weight store.
@@ -105,6 +106,8 @@
         replace_time: Mean time until the platform replaces an instance.
         move_time: Expected time to rebuild a replica in another domain.
         horizon: Time over which the costs of repairs are compared.
+        grant_patience: Time for which a domain may stay below the target of
+            its share before the share is lowered to what it holds.
     """
 
     epoch_checked: bool = True
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -230,13 +230,13 @@
         replica = self.find_replica()
         self.engine(replica.members[0]).alive = False
 
-        def is_mended() -> bool:
+        def is_repaired() -> bool:
             return any(
                 each.id == replica.id and each.generation > replica.generation
                 for each in self.list_serving()
             )
 
-        self.run_until(is_mended, 60.0)
+        self.run_until(is_repaired, 60.0)
 
 
 class LeaseTest(ReplicaCase):
