--- a/currantwall/coordination/profiles/configuration.py
+++ b/currantwall/coordination/profiles/configuration.py
@@ -93,13 +93,13 @@
         nodes: views.MembersView,
         members: membership.Membership,
         settings: settings_module.PlatformSection,
-        numbers: calls.Calls,
+        call_ids: calls.Calls,
     ) -> None:
         self._view = view
         self._nodes = nodes
         self._members = members
         self._settings = settings
-        self._numbers = numbers
+        self._call_ids = call_ids
         seed = rendezvous.score("backoff", nodes.me.id)
         limits = (settings.backoff, settings.backoff_limit)
         self._watch = _RepeatedCall(calls.Backoff(*limits, seed))
@@ -144,7 +144,7 @@
     def _start_due_calls(self, now: float) -> list[part.Action]:
         next_actions: list[part.Action] = []
         if self._watch.is_due(now):
-            call = self._numbers.next()
+            call = self._call_ids.next()
             self._watch.call = call
             if self._watch_revision is None:
                 next_actions.append(actions.ListObjects(call))
@@ -153,7 +153,7 @@
                     actions.WatchObjects(call, self._watch_revision)
                 )
         if self._instance_list.is_due(now):
-            self._instance_list.call = self._numbers.next()
+            self._instance_list.call = self._call_ids.next()
             known = self._instance_list_revision
             next_actions.append(
                 actions.ListInstances(self._instance_list.call, known)
@@ -265,7 +265,7 @@
     def _on_refresh(self, message: Refresh, now: float) -> list[part.Action]:
         if message.key in self._refreshing.values():
             return []
-        call = self._numbers.next()
+        call = self._call_ids.next()
         self._refreshing[call] = message.key
         return [actions.ReadObject(call, message.key)]
 
--- a/currantwall/coordination/profiles/edits.py
+++ b/currantwall/coordination/profiles/edits.py
@@ -111,12 +111,12 @@
         view: views.ObjectsView,
         nodes: views.MembersView,
         settings: settings_module.PeersSection,
-        numbers: calls.Calls,
+        call_ids: calls.Calls,
     ) -> None:
         self._view = view
         self._nodes = nodes
         self._deadline = settings.edit_deadline
-        self._numbers = numbers
+        self._call_ids = call_ids
         self._edits: list[_Edit] = []
 
     def due(self) -> float | None:
@@ -134,13 +134,13 @@
     def _on_request(
         self, request: EditRequested, now: float
     ) -> list[part.Action]:
-        call = self._numbers.next()
+        call = self._call_ids.next()
         edit = _Edit(request, now + self._deadline, call)
         self._edits.append(edit)
         return self._write(edit)
 
     def _write(self, edit: _Edit) -> list[part.Action]:
-        edit.call = self._numbers.next()
+        edit.call = self._call_ids.next()
         edit.is_reading = False
         request = edit.request
         return [
@@ -175,7 +175,7 @@
         return self._read_back(edit)
 
     def _read_back(self, edit: _Edit) -> list[part.Action]:
-        edit.call = self._numbers.next()
+        edit.call = self._call_ids.next()
         edit.is_reading = True
         edit.next_read = None
         return [actions.ReadObject(edit.call, edit.request.key)]
--- a/currantwall/coordination/profiles/granting.py
+++ b/currantwall/coordination/profiles/granting.py
@@ -263,11 +263,11 @@
         self,
         view: views.ObjectsView,
         nodes: views.MembersView,
-        numbers: calls.Calls,
+        call_ids: calls.Calls,
     ) -> None:
         self._view = view
         self._nodes = nodes
-        self._numbers = numbers
+        self._call_ids = call_ids
         self._next_plan = 0.0
         self._writes: dict[ids.CallId, str] = {}
         self._retry_times: dict[str, float] = {}
@@ -317,7 +317,7 @@
         )
         if planned == stored:
             return []
-        call = self._numbers.next()
+        call = self._call_ids.next()
         self._writes[call] = wanted.name
         value = objects.encode(planned)
         expected = self._view.get_expected_version(key)
--- a/currantwall/coordination/profiles/shares.py
+++ b/currantwall/coordination/profiles/shares.py
@@ -43,12 +43,12 @@
         self,
         name: ids.DomainName,
         view: views.ObjectsView,
-        numbers: calls.Calls,
+        call_ids: calls.Calls,
         unused_timeout: float,
     ) -> None:
         self._name = name
         self._view = view
-        self._numbers = numbers
+        self._call_ids = call_ids
         self._unused_timeout = unused_timeout
         self._call: ids.CallId | None = None
         self._profile = ""
@@ -151,7 +151,7 @@
 
     def _write(self, name: str, value: grants.Grants) -> list[part.Action]:
         key = make_key(name)
-        self._call = self._numbers.next()
+        self._call = self._call_ids.next()
         self._profile = name
         self._written = objects.encode(value)
         self._unsettled.add(name)
--- a/currantwall/coordination/stops/handover.py
+++ b/currantwall/coordination/stops/handover.py
@@ -96,13 +96,13 @@
         if self._unacknowledged:
             return self._send_all(now)
         self._announce_at = now + _ANNOUNCE_SECONDS
-        found: list[part.Action] = []
+        result: list[part.Action] = []
         for announcement, repeats in list(self._announcements.items()):
-            found.append(actions.Publish(announcement, urgent=True))
+            result.append(actions.Publish(announcement, urgent=True))
             self._announcements[announcement] = repeats - 1
             if repeats <= 1:
                 del self._announcements[announcement]
-        return found
+        return result
 
     def note_taken(self, number: int) -> None:
         """Note that the successor has acknowledged a message."""
@@ -114,15 +114,15 @@
         self, sender: ids.NodeId, body: wire.HandOver
     ) -> list[part.Action]:
         """Store received key states; announce the handover when complete."""
-        found: list[part.Action] = [
+        result: list[part.Action] = [
             actions.Send(sender, wire.HandOverTaken(body.number))
         ]
         if body.home in self._adopted:
-            return found
+            return result
         parts = self._parts.setdefault(body.home, {})
         parts[body.number] = body
         if len(parts) < body.total:
-            return found
+            return result
         del self._parts[body.home]
         self._adopted[body.home] = {
             state.name: state
@@ -133,7 +133,7 @@
         me = self._nodes.me
         announcement = wire.Successor(body.home, me.id, me.incarnation)
         self._announcements[announcement] = _ANNOUNCEMENT_COUNT
-        return found
+        return result
 
     def find(self, home: keys.Home) -> dict[str, wire.KeyState] | None:
         """Return the keys of a home that was handed over to this node."""
--- a/currantwall/coordination/stops/stopping.py
+++ b/currantwall/coordination/stops/stopping.py
@@ -59,10 +59,10 @@
         name = message.stored.key.name
         kind = timeline.EventKind.STOP_CHANGED
         detail = "cancelled" if stop is None else f"planned for {stop.target}"
-        found: list[part.Action] = [actions.Record(kind, name, detail)]
+        result: list[part.Action] = [actions.Record(kind, name, detail)]
         if stop is not None and self._is_for_this_process(stop):
-            found.append(actions.Leave(f"stop {name}"))
-        return found
+            result.append(actions.Leave(f"stop {name}"))
+        return result
 
     def _is_for_this_process(self, stop: stops.Stop) -> bool:
         """Return whether a stop asks this process to end.
