--- a/currantwall/coordination/replicas/leases.py
+++ b/currantwall/coordination/replicas/leases.py
@@ -79,13 +79,13 @@
             del self._sent_at[next(iter(self._sent_at))]
 
     def record_version(
-        self, version: ids.Version, held: domain.Domain | None, now: float
+        self, version: ids.Version, ledger: domain.Domain | None, now: float
     ) -> None:
-        """Record a version of the domain that was read or written.
+        """Record a version of the ledger that was read or written.
 
         Args:
             version: The version of the stored object.
-            held: The domain stored there, None if there is none.
+            ledger: The ledger stored there, None if there is none.
             now: The time.
         """
         if self._version is not None and version < self._version:
@@ -93,8 +93,8 @@
         if version != self._version:
             self._version = version
             self._first_seen = now
-        self._lease = held.lease if held else None
-        sent_at = self._sent_at.get(held.attempt) if held else None
+        self._lease = ledger.lease if ledger else None
+        sent_at = self._sent_at.get(ledger.attempt) if ledger else None
         if self.is_mine() and sent_at is not None:
             ttl = self._lease.ttl if self._lease else 0.0
             deadline = sent_at + ttl - self._margin
--- a/currantwall/coordination/replicas/placement.py
+++ b/currantwall/coordination/replicas/placement.py
@@ -481,7 +481,7 @@
 
 def _drain_surplus(situation: Situation) -> domain.Domain:
     ledger = situation.ledger
-    for name in sorted({held.profile for held in ledger.replicas}):
+    for name in sorted({replica.profile for replica in ledger.replicas}):
         share = situation.shares.get(name)
         removed = name not in situation.profiles
         if share is None and not removed:
@@ -539,13 +539,13 @@
         wanted = situation.profiles.get(name)
         if wanted is None or not share.rework:
             continue
-        held = ledger.select(wanted.name)
+        replicas = ledger.select(wanted.name)
         not_serving = sum(
-            1 for replica in held if replica.phase is not Phase.SERVING
+            1 for replica in replicas if replica.phase is not Phase.SERVING
         )
         outdated = [
             replica
-            for replica in held
+            for replica in replicas
             if replica.phase is Phase.SERVING
             and (
                 not is_current(replica, wanted)
