--- a/currantwall/coordination/replicas/leases.py
+++ b/currantwall/coordination/replicas/leases.py
@@ -13,8 +13,8 @@
 
 __all__ = ["LeaseTracker", "is_candidate", "may_take"]
 
-# Number of writes whose send time is kept. A lease that is confirmed by a
-# later read counts from then.
+# Number of writes whose send time is kept. If a lease is confirmed only by a
+# later read, its TTL counts from the send time of the write that is stored.
 _SENT_WRITE_LIMIT = 8
 # Number of nodes that may try to take a lease, one after the other. The
 # store may refuse a third of the nodes while it serves the others. With six
@@ -79,13 +79,13 @@
             del self._sent_at[next(iter(self._sent_at))]
 
     def record_version(
-        self, version: ids.Version, held: domain.Domain | None, now: float
+        self, version: ids.Version, ledger: domain.Domain | None, now: float
     ) -> None:
-        """Record a version of the domain that was read or written.
+        """Record a version of the ledger that was read or written.
 
         Args:
             version: The version of the stored object.
-            held: The domain stored there, None if there is none.
+            ledger: The ledger stored there, None if there is none.
             now: The time.
         """
         if self._version is not None and version < self._version:
@@ -93,8 +93,8 @@
         if version != self._version:
             self._version = version
             self._first_seen = now
-        self._lease = held.lease if held else None
-        sent_at = self._sent_at.get(held.attempt) if held else None
+        self._lease = ledger.lease if ledger else None
+        sent_at = self._sent_at.get(ledger.attempt) if ledger else None
         if self.is_mine() and sent_at is not None:
             ttl = self._lease.ttl if self._lease else 0.0
             deadline = sent_at + ttl - self._margin
