--- a/standins/objectapi.py
+++ b/standins/objectapi.py
@@ -27,6 +27,8 @@
 class ObjectApiFaults(msgspec.Struct):
     """Faults that the API injects.
 
+    They do not affect a DELETE, nor a PUT of an object that does not exist.
+
     Attributes:
         down: Whether every call is answered 503.
         lose_writes: Number of writes to apply and then answer 500, as if
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -138,7 +138,7 @@
     @server.route("GET", r"/v1/objects")
     def list_objects(self, request: server.Request) -> Response:
         """Return all objects of some kinds."""
-        failed = self._count_call("list")
+        failed = self._begin_call("list")
         if failed is not None:
             return failed
         kinds = set(request.query["kinds"].split(","))
@@ -147,7 +147,7 @@
     @server.route("GET", r"/v1/objects/(?P<kind>[^/]+)/(?P<name>[^/]+)")
     def read_object(self, request: server.Request) -> Response:
         """Return one object."""
-        failed = self._count_call("read")
+        failed = self._begin_call("read")
         if failed is not None:
             return failed
         stored = self._store.get(_make_key(request))
@@ -168,7 +168,7 @@
 
     def _write(self, request: server.Request, value: bytes) -> Response:
         is_claim = request.path_params["kind"] == objects.Kind.CLAIMS.value
-        failed = self._count_call("claim" if is_claim else "write")
+        failed = self._begin_call("claim" if is_claim else "write")
         if failed is not None:
             return failed
         expected = int(request.query["expected"])
@@ -187,7 +187,7 @@
     @server.route("GET", r"/v1/watch")
     def watch_objects(self, request: server.Request) -> Response:
         """Return the changes after a revision (long poll)."""
-        failed = self._count_call("watch")
+        failed = self._begin_call("watch")
         if failed is not None:
             return failed
         kinds = set(request.query["kinds"].split(","))
@@ -212,7 +212,7 @@
     @server.route("GET", r"/v1/instances")
     def list_instances(self, request: server.Request) -> Response:
         """Return the instance list."""
-        failed = self._count_call("instances")
+        failed = self._begin_call("instances")
         if failed is not None:
             return failed
         if request.query.get("since") == str(self._listed.revision):
@@ -245,7 +245,7 @@
         """Return how often each kind of call was made."""
         return http_protocol.make_json(dict(self._calls))
 
-    def _count_call(self, kind: str) -> Response | None:
+    def _begin_call(self, kind: str) -> Response | None:
         """Count a call and apply the faults; return a 503 while down."""
         self._calls[kind] += 1
         if self._faults.delay:
--- a/standins/upstream.py
+++ b/standins/upstream.py
@@ -5,8 +5,8 @@
 one place:
 
     /hang/, /hang-ID/  no answer for 30 s; only from the server ID
-    /reset3/           the stream is reset after three events, unless it is
-                       a resumed one
+    /reset3/           the stream is reset after three (or another number
+                       of) events, unless it is a resumed one
     /slow/             half a second between the events of a stream
     /unframed/         an answer without a length, ended by the close
     /torn/             as unframed, reset in the middle
@@ -14,6 +14,8 @@
     /error/            status 500
     /mute/             an answer without the server's signature
 
+Only engines stream; only plain services answer as unframed, torn or error.
+
 ``/control/runs`` returns the requests that it ran. If a record file is
 given, runs and changes of the server's seat are appended to it too, and
 can be read when the process has died.
