--- a/soak/callers.py
+++ b/soak/callers.py
@@ -15,9 +15,9 @@
 
 __all__ = ["Attempt", "Caller"]
 
-_REQUEST_DEADLINE = 3.0
 # Deadline of each request in seconds, and the time beyond it after which
 # a caller stops waiting for the answer.
+_REQUEST_DEADLINE = 3.0
 _ANSWER_GRACE = 4.0
 _ADDRESSES_TTL = 2.0  # seconds between two reads of a directory
 _MEAN_PAUSE = 0.08  # seconds between two requests
--- a/soak/promises.py
+++ b/soak/promises.py
@@ -1,7 +1,8 @@
 """Checks of the promises: invariants that hold whatever the faults.
 
 They are checked after a run, against what callers, servers and the site
-recorded.
+recorded. Limits in time are checked only for gateways that nothing
+disturbed.
 """
 
 from collections import abc
@@ -15,7 +16,9 @@
 
 Attempt = callers.Attempt
 
+# Events of a complete stream of `standins.upstream`.
 _EVENT_COUNT = 6
+# Statuses with which a gateway promises that a request has not run.
 _NOT_RUN_STATUSES = (408, 421, 429, 503)
 _NON_IDEMPOTENT_KINDS = ("unsafe", "once")
 # How often a request may run, by the kind of its route.
@@ -29,7 +32,7 @@
 _CUT_WINDOW = 1.0
 # Seconds after which a draining server gets no new request. The platform
 # allows two seconds; the rest is tolerance for a busy machine.
-_DRAIN_TIME = 6.0
+_DRAIN_NOTICE_TIME = 6.0
 # Seconds within which a request has its answer: the callers' deadline and
 # a tolerance.
 _ANSWER_TIME = 3.0 + 2.0
@@ -44,7 +47,8 @@
     Attributes:
         attempts: The requests of all callers.
         records: Lines of each server's record file, by its name.
-        history: Time, event and process (or empty) of what was done.
+        history: Time, event and process of what was done. The process is
+            empty for the store; a `configured` event has the version.
         acknowledged: When the store acknowledged each version, or when a
             newer one replaced it before.
         end: When the run ended.
@@ -330,7 +334,7 @@
                 drained = line["at"]
             elif line["what"] == "run" and drained is not None:
                 attempt = began[line["run"]["attempt"]]
-                is_late = line["at"] > drained + _DRAIN_TIME
+                is_late = line["at"] > drained + _DRAIN_NOTICE_TIME
                 if is_late and observed.is_calm(
                     attempt.gateway, drained, line["at"]
                 ):
@@ -382,8 +386,8 @@
 def _is_excused(observed: Observed, gateway: str, attempt: Attempt) -> bool:
     """Return whether a disturbance may have cut a request's answer.
 
-    It counts if it was of the gateway itself, or of a server that ran the
-    request or belongs to that server's replica.
+    It counts if it was of the gateway itself, other than its planned stop,
+    or of a server that ran the request or belongs to that server's replica.
     """
     servers = {gateway}
     for name, line in observed.list_runs():
--- a/soak/site.py
+++ b/soak/site.py
@@ -46,7 +46,8 @@
         processes: Current process of each gateway, as `NAME#NUMBER`.
         store_links: Proxy of each process to the store.
         links: Proxy in front of each server.
-        history: Time, event and process (or empty) of what was done.
+        history: Time, event and process of what was done. The process is
+            empty for the store; a `configured` event has the version.
         acknowledged: When the store acknowledged each version, or when a
             newer one replaced it before.
         newest: The newest version written, acknowledged or not.
@@ -92,7 +93,7 @@
         return self.answers(f"{base}/currantwall/objects/servers")
 
     def record_event(self, event: str, name: str = "") -> None:
-        """Add an event of a process or of the site to the history."""
+        """Add an event to the history; see `history` for the name."""
         self.history.append((time.monotonic(), event, name))
 
     def get_store(self, name: str) -> str:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -11,7 +11,7 @@
 
 _ROOT = pathlib.Path(__file__).parent.parent
 _SECONDS = 6
-_TIMEOUT = 240
+_TIMEOUT = 240  # seconds
 # Seeds of runs that once failed, each with the cause in a comment.
 _REGRESSIONS: tuple[int, ...] = ()
 
