--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,4 @@
-"""Demonstration, load generator and benchmarks of the whole system."""
+"""Demonstration, load generator and benchmarks.
+
+Speed is measured here only.
+"""
--- a/bench/callers.py
+++ b/bench/callers.py
@@ -15,7 +15,7 @@
 
 __all__ = ["measure_callers"]
 
-_TOKEN_INTERVAL = 0.02
+_TOKEN_INTERVAL = 0.02  # seconds
 # 270 streams with a token every 20 ms are 13,500 chunks a second.
 _STREAMS = 270
 _OPEN_STREAMS = 1000
--- a/bench/digests.py
+++ b/bench/digests.py
@@ -50,10 +50,12 @@
         loads: Its requests in flight, by upstream.
         lost: Leaders of replicas that it reports as lacking a member.
         slow: Leaders of replicas that it reports as slowed by a member.
-        answered_at: Time of the store's last answer to this node; None if
-            it has not asked.
-        heard_lost: Time of the first report by leader, for lost members.
-        heard_slow: Time of the first report by leader, for slow members.
+        answered_at: Time of the store's last answer to this node; None
+            before the first.
+        heard_lost: By leader, when this node first heard that its replica
+            lacks a member.
+        heard_slow: By leader, when this node first heard that its replica
+            is slowed by a member.
         remote_loads: Requests in flight by upstream, from the newest total
             digest.
     """
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -105,9 +105,10 @@
 def pick_port_pair() -> tuple[int, int]:
     """Return two free ports next to each other.
 
-    Both are recorded as used. If only the first were, the second could be
-    given to another listener; listeners may share a port, so that a caller
-    would be answered by the wrong one.
+    Only the first is tested for being free. Both are recorded as used: if
+    only the first were, the second could be given to another listener;
+    listeners may share a port, so that a caller would be answered by the
+    wrong one.
     """
     for _ in range(_MAX_PORT_ATTEMPTS):
         first = pick_port()
--- a/bench/gateways.py
+++ b/bench/gateways.py
@@ -167,7 +167,7 @@
         assert response.status == 200, response.data
 
     def set_store(self, **faults: typing.Any) -> None:
-        """Set the faults that the store simulates."""
+        """Set the faults that the store injects."""
         url = f"http://{self.addresses[_STORE_NAME]}/control/objectapi"
         self.http.request("POST", url, body=msgspec.json.encode(faults))
 
--- a/bench/load.py
+++ b/bench/load.py
@@ -48,7 +48,8 @@
         seconds: Length of the measurement.
         requests: Answers that ended.
         chunks: Tokens received.
-        failures: Answers that failed or were cut.
+        failures: Answers that failed or were cut. An error in place of a
+            stream counts only when the server closes the connection.
         first: Seconds from a request to its first token, or to the end of
             an answer that is not streamed.
         gaps: Seconds between two reads of a stream that had tokens.
--- a/bench/nodes.py
+++ b/bench/nodes.py
@@ -35,7 +35,7 @@
 _DOMAIN_SIZE = 73
 _REPLICA_SIZE = 8
 _ROUND_SECONDS = 0.4
-# One in so many instances changes its entry in each round.
+# One instance in this many changes its entry in each round.
 _INSTANCES_PER_CHANGE = 100
 _WARMUP_SECONDS = 6.0
 _MEASURE_SECONDS = 10.0
@@ -48,7 +48,7 @@
 _SMALL_LIMITS = {"cpuShare": 0.5, "cores": 1, "linkMbps": 20.0}
 _LARGE_LIMITS = {"cpuShare": 0.7, "cores": 3, "linkMbps": 200.0}
 _RELAYS_PER_DATACENTRE = 2
-_MILLISECONDS = 1000.0
+_MILLISECONDS_PER_SECOND = 1000.0
 
 
 class _SimulatedNodes:
@@ -363,7 +363,7 @@
             others.stop()
     role = "relay" if is_relay else "member"
     name = f"nodes.{count}.{role}"
-    report.emit(name, "start", start * _MILLISECONDS, "ms")
+    report.emit(name, "start", start * _MILLISECONDS_PER_SECOND, "ms")
     report.emit(name, "at_rest", share * 100.0, "% of a core")
     report.emit(name, "memory", memory, "MB")
 
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -45,8 +45,10 @@
 _DETECTION_SECONDS = 1.0
 # Until a demand that an entry publishes reaches the other entries.
 _DEMAND_DELAY_SECONDS = 0.3
-# Service time and prefill time are multiplied by these on a cache hit.
+# Factor of the service time on a cache hit.
 _CACHED_SERVICE_FACTOR = 0.7
+# Seconds of processing until the first token, and their factor on a cache
+# hit.
 _PREFILL_SECONDS = 0.3
 _CACHED_PREFILL_FACTOR = 0.2
 # Prefixes that a replica caches, of those that occur.
--- a/bench/peers.py
+++ b/bench/peers.py
@@ -131,7 +131,10 @@
 def _measure_losses(
     name: str, world: virtual.World, traffic: _Traffic
 ) -> None:
-    """Measure the loss of 19 nodes, of a rack of 8 and of a data centre."""
+    """Measure the loss of 19 nodes, of a rack of 8 and of a data centre.
+
+    The losses follow one another, and lost nodes do not come back.
+    """
     hosts = list(world.hosts.values())
     for label, dead in (
         ("19_failures", hosts[3 : 3 + 19 * 5 : 5]),
