--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -56,14 +56,16 @@
         "currantwall/transport/duties.py",
         "        is_slow = found.pace >= _SLOW_PACE\n",
         "        is_slow = found.pace > 1.0\n",
-        f"{_DUTIES}.SlowTest.test_a_member_that_is_a_little_slow_is_not_told",
+        f"{_DUTIES}.SlowTest"
+        ".test_a_member_that_is_a_little_slow_is_not_reported",
     ),
     Mutant(
         "a slow member is reported only once",
         "currantwall/transport/duties.py",
         "        domain.slow.add(found.id)\n",
         "",
-        f"{_DUTIES}.SlowTest.test_a_slow_member_is_told_until_it_no_longer_is",
+        f"{_DUTIES}.SlowTest"
+        ".test_a_slow_member_is_reported_until_it_is_no_longer_slow",
     ),
     Mutant(
         "slow replicas are skipped although most are slow",
@@ -95,14 +97,15 @@
         "        return self._find_prober(lease, now)"
         " == self._presence.me.id\n",
         "        return False\n",
-        f"{_DUTIES}.ProbeTest.test_a_loss_is_told_while_the_store_is_away",
+        f"{_DUTIES}.ProbeTest.test_a_loss_is_reported_while_the_store_is_down",
     ),
     Mutant(
         "an isolated node reports losses",
         "currantwall/transport/domainleases.py",
         "is_lapsed(now) or self._presence.is_isolated(now):",
         "is_lapsed(now):",
-        f"{_DUTIES}.ProbeTest.test_a_node_that_hears_nobody_tells_no_losses",
+        f"{_DUTIES}.ProbeTest"
+        ".test_a_node_without_heartbeats_of_others_reports_no_losses",
     ),
     Mutant(
         "lost answers are not reported to other nodes",
@@ -188,7 +191,7 @@
         "        old = [held[name] for name in gone if name in held]\n",
         "        old = []\n",
         "tests.test_large_fleet.FleetTest"
-        ".test_changes_alone_give_what_the_whole_list_does",
+        ".test_changes_give_the_same_fleet_as_the_whole_list",
     ),
     Mutant(
         "leases are read by nodes that may not hold them",
@@ -232,7 +235,7 @@
         "_CANDIDATES = 6\n",
         "_CANDIDATES = 2\n",
         f"{_DUTIES}.LeaseTest"
-        ".test_a_domain_finds_a_holder_when_the_first_are_turned_away",
+        ".test_a_domain_gets_a_holder_when_the_first_ranks_are_refused",
     ),
     Mutant(
         "the end of a load is not detected from the list",
@@ -270,7 +273,8 @@
         "currantwall/transport/fleets.py",
         "        if found.failure_age is not None:\n",
         "        if False:\n",
-        f"{_FEEDS}.FollowerTest.test_entries_that_lapsed_are_kept_here_too",
+        f"{_FEEDS}.FollowerTest"
+        ".test_a_follower_keeps_lapsed_entries_as_its_reader_does",
     ),
     Mutant(
         "survivors move while their leader serves",
@@ -293,7 +297,7 @@
         "            if until - began > _MIN_OUTAGE_SECONDS:\n",
         "            if until - began > 0.0:\n",
         f"{_FEEDS}.FleetFeedTest"
-        ".test_who_leaves_is_dropped_after_this_node_was_turned_away",
+        ".test_a_departed_entry_is_dropped_after_this_node_was_refused",
     ),
     Mutant(
         "answers of the store to other nodes are ignored",
@@ -301,7 +305,7 @@
         "            self.store_history.note_answer(now - age)\n",
         "            pass\n",
         f"{_FEEDS}.FleetFeedTest"
-        ".test_who_leaves_is_dropped_after_this_node_was_turned_away",
+        ".test_a_departed_entry_is_dropped_after_this_node_was_refused",
     ),
     Mutant(
         "a follower treats a reader's refusal as an outage",
@@ -309,7 +313,7 @@
         "            if until - began > _MIN_OUTAGE_SECONDS:\n",
         "            if until - began > 0.0:\n",
         f"{_FEEDS}.FollowerTest"
-        ".test_who_leaves_is_dropped_after_a_reader_was_cut_off",
+        ".test_a_departed_entry_is_dropped_after_a_reader_was_cut_off",
     ),
     Mutant(
         "a silence without a failed call is treated as an outage",
@@ -325,7 +329,7 @@
         "            until = now if ended is None else ended\n",
         "            until = began if ended is None else ended\n",
         f"{_FEEDS}.FollowerTest"
-        ".test_lapsed_entries_are_kept_by_who_hears_of_the_list_first",
+        ".test_lapsed_entries_are_kept_if_a_third_node_reports_the_list",
     ),
     Mutant(
         "an older configuration is applied",
@@ -454,7 +458,7 @@
         "    if repair is Repair.WAIT and not broken.missing:\n",
         "    if False:\n",
         "tests.test_repair.RepairTest"
-        ".test_member_that_is_back_empty_is_not_waited_for",
+        ".test_member_that_returned_without_its_model_is_replaced",
     ),
     Mutant(
         "the first way to use the spares wins, not the cheapest",
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -252,7 +252,7 @@
         world.run(4.5)
         self.assertEqual(len(world.list_holders()), 1)
 
-    def test_a_holder_that_the_store_turns_away_is_succeeded(self):
+    def test_a_holder_that_the_store_refuses_is_succeeded(self):
         world = self.make("n1", "n2")
         (holder,) = world.list_holders()
         world.nodes[holder].store_mode = "down"
@@ -260,7 +260,7 @@
         (after,) = world.list_holders()
         self.assertNotEqual(after, holder)
 
-    def test_a_domain_finds_a_holder_when_the_first_are_turned_away(self):
+    def test_a_domain_gets_a_holder_when_the_first_ranks_are_refused(self):
         """Guards against a domain without a holder while some are refused.
 
         The store refuses a third of the nodes and serves the others. All
@@ -343,7 +343,7 @@
 
 
 class TenureTest(LeaseCase):
-    def test_a_holder_that_comes_back_gives_no_order_by_what_it_knew(self):
+    def test_a_returning_holder_gives_no_order_from_old_knowledge(self):
         """Guards against orders based on knowledge from an earlier tenure.
 
         A node holds the domain, loses it to another node, which opens a
@@ -404,7 +404,7 @@
             node.duties.suspect(ids.InstanceId("e1"))
         self.world.run(1.0)
 
-    def test_a_loss_is_told_while_the_store_is_away(self):
+    def test_a_loss_is_reported_while_the_store_is_down(self):
         """Guards against a lost replica that nobody reports in an outage.
 
         Each of a hundred gateways then waits a second for that replica.
@@ -414,7 +414,7 @@
         self.lose_instance()
         self.assertEqual([name for name, _ in self.reported_losses], [holder])
 
-    def test_a_loss_is_told_though_the_last_holder_is_gone_too(self):
+    def test_a_loss_is_reported_when_the_last_holder_is_dead_too(self):
         (holder,) = self.world.list_holders()
         self.world.nodes[holder].dead = True
         self.lose_store()
@@ -429,7 +429,7 @@
         for node in self.world.nodes.values():
             self.assertEqual(node.engines.orders, [])
 
-    def test_a_node_that_hears_nobody_tells_no_losses(self):
+    def test_a_node_without_heartbeats_of_others_reports_no_losses(self):
         """Guards against losses reported by a node that is cut off.
 
         It reaches no instance and took all of them for lost.
@@ -466,7 +466,7 @@
                 (self.world.now(), node.name)
             )
 
-    def test_a_slow_member_is_told_until_it_no_longer_is(self):
+    def test_a_slow_member_is_reported_until_it_is_no_longer_slow(self):
         """Guards against a slow replica that is not reported in time.
 
         Each of a hundred nodes then notices by a stalled stream of its
@@ -487,7 +487,7 @@
         self.world.run(5.0)
         self.assertEqual(self.slow, [])
 
-    def test_a_member_that_is_a_little_slow_is_not_told(self):
+    def test_a_member_that_is_a_little_slow_is_not_reported(self):
         (holder,) = self.world.list_holders()
         self.set_pace(1.5)
         self.world.nodes[holder].duties.suspect(ids.InstanceId("e1"))
--- a/tests/test_feeds.py
+++ b/tests/test_feeds.py
@@ -196,7 +196,7 @@
         self.run_feed(feed)
         self.assertEqual(self.list_names(), ["a"])
 
-    def test_who_leaves_is_dropped_although_old_reads_lag(self):
+    def test_a_departed_entry_is_dropped_although_stale_reads_lag(self):
         """Guards against requests to a server that is known to leave.
 
         Stale reads lagged by three seconds for some time, while the store
@@ -243,7 +243,7 @@
         self.run_feed(feed)
         self.assertEqual(sum(fresh), 0)
 
-    def test_who_leaves_is_dropped_after_this_node_was_turned_away(self):
+    def test_a_departed_entry_is_dropped_after_this_node_was_refused(self):
         """Guards against keeping entries after a refusal of this node alone.
 
         Requests went on to servers that had left for good.
@@ -274,7 +274,7 @@
         self.run_feed(feed)
         self.assertEqual(self.list_names(), ["a"])
 
-    def test_a_node_that_is_turned_away_takes_a_peers_list(self):
+    def test_a_refused_node_fetches_a_peers_list(self):
         """Guards against requests by an outdated list of a refused node.
 
         The store refuses this node and serves the others, one of which
@@ -452,7 +452,7 @@
         self.send_heartbeats(store_age=2.0)
         self.assertTrue(self.reads_store())
 
-    def test_a_node_reads_the_store_itself_when_it_hears_no_reader(self):
+    def test_a_node_reads_the_store_itself_without_reader_heartbeats(self):
         self.send_heartbeats()
         self.clock.time += 3.0
         self.assertTrue(self.reads_store())
@@ -485,7 +485,7 @@
             self.read_store(result.Err(Failure.UNAVAILABLE))
         self.advance_time(1.0, seconds)
 
-    def test_entries_that_lapsed_are_kept_here_too(self):
+    def test_a_follower_keeps_lapsed_entries_as_its_reader_does(self):
         """Guards against replicas that are all dissolved after an outage.
 
         The reader knows of the outage and keeps lapsed entries. A node
@@ -504,7 +504,7 @@
         self.follow()
         self.assertEqual(self.list_names(), ["a"])
 
-    def test_lapsed_entries_are_kept_by_who_hears_of_the_list_first(self):
+    def test_lapsed_entries_are_kept_if_a_third_node_reports_the_list(self):
         """Guards against dropping live replicas after a lost heartbeat.
 
         The follower missed the reader's heartbeat and learned of the new
@@ -533,7 +533,7 @@
         self.follow()
         self.assertEqual(self.list_names(), ["a"])
 
-    def test_who_leaves_is_dropped_after_a_reader_was_turned_away(self):
+    def test_a_departed_entry_is_dropped_after_a_reader_was_refused(self):
         """Guards against keeping entries after a refusal of the reader alone.
 
         Nodes that the store never refused sent requests to instances that
@@ -555,7 +555,7 @@
         self.follow()
         self.assertEqual(self.list_names(), ["a", "b", "d"])
 
-    def test_who_leaves_is_dropped_after_a_reader_was_cut_off(self):
+    def test_a_departed_entry_is_dropped_after_a_reader_was_cut_off(self):
         """Guards against an outage that only an isolated reader has seen.
 
         Other nodes took it for a real one and kept entries of instances
@@ -578,9 +578,7 @@
         self.follow()
         self.assertEqual(self.list_names(), ["a"])
 
-    def test_lapsed_entries_are_not_kept_longer_by_who_hears_of_them_late(
-        self,
-    ):
+    def test_lapsed_entries_are_not_kept_longer_by_a_late_follower(self):
         """Guards against a grace period that restarts at each node.
 
         Each node that passed on a list kept the missing instances for
@@ -643,14 +641,14 @@
         feed.apply(b"8", "peer")
         self.assertEqual(feed.version, 9)
 
-    def test_what_cannot_be_read_leaves_the_version_in_force(self):
+    def test_an_unreadable_configuration_leaves_the_version_in_force(self):
         feed = self.make([make_versions(1, 7)], [make_versions(2, "x")])
         self.store.limit = 2
         self.run_feed(feed)
         self.assertEqual(feed.version, 7)
         self.assertIn("configuration_unreadable", self.log.events)
 
-    def test_a_history_that_is_gone_again_and_again_is_waited_for(self):
+    def test_retries_of_watches_that_keep_expiring_are_spaced_out(self):
         """Guards against a call every few milliseconds from each node.
 
         The store drops its history while changes are made: each watch
@@ -685,7 +683,7 @@
         # The first list, the first watch, and three tries.
         self.assertGreater(self.clock.now() - began, 8.0)
 
-    def test_the_loss_and_return_of_the_store_are_told_once(self):
+    def test_the_loss_and_return_of_the_store_are_logged_once(self):
         feed = self.make(
             [
                 make_versions(1, 7),
--- a/tests/test_green.py
+++ b/tests/test_green.py
@@ -44,7 +44,7 @@
         found = self.run_script("threads=False, processes=False")[:4]
         self.assertEqual(found, ["True", "True", "True", "False"])
 
-    def test_asyncio_is_there_for_who_loads_it_later(self):
+    def test_asyncio_runs_coroutines_when_imported_later(self):
         """Guards against breaking a library that runs coroutines later.
 
         The library for the metrics may do so.
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -78,7 +78,7 @@
             if draw.random() < 0.9
         ]
 
-    def test_a_changed_list_gives_what_a_new_one_does(self):
+    def test_replacing_a_list_gives_the_same_fleet_as_a_new_one(self):
         """Guards against requests to replicas that have lost a member."""
         draw = random.Random(4)
         fleet = upstreams.Fleet()
@@ -94,7 +94,7 @@
             fresh.replace(expected.values(), 1, 1.0)
             self.assertEqual(describe(fleet), describe(fresh), revision)
 
-    def test_changes_alone_give_what_the_whole_list_does(self):
+    def test_changes_give_the_same_fleet_as_the_whole_list(self):
         """Guards against followers that route by a wrong list."""
         draw = random.Random(7)
         fleet = upstreams.Fleet()
@@ -196,7 +196,7 @@
             world.run(5.0, lambda: exchange_leases(world))
         self.assertEqual(len(world.list_holders()), 1)
 
-    def test_leases_that_are_told_are_not_read(self):
+    def test_leases_that_heartbeats_report_are_not_read(self):
         """Guards against reading leases that the heartbeats report.
 
         Two calls in three were such reads.
@@ -235,7 +235,7 @@
 
 
 class QueueTest(unittest.TestCase):
-    def test_nobody_looks_for_places_while_nobody_waits(self):
+    def test_an_empty_queue_is_not_polled(self):
         """Guards against polling an empty queue.
 
         Each of 195 nodes checked its empty queue twenty times a second.
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -91,7 +91,7 @@
         exchange._receive(self.make_digest(1, True, 4))
         self.assertEqual(self.balancer.count_load(_LEADER), 7)
 
-    def test_a_relay_adds_up_those_that_ask_it_first_and_other_parts(self):
+    def test_a_relay_adds_up_full_requests_and_parts_of_other_relays(self):
         """Guards against counts that are added up twice or not at all."""
         exchange = self.make(2.0)
         exchange._receive(self.make_heartbeat(5, RelayRequest.FULL, 2))
@@ -102,7 +102,7 @@
         exchange._receive(self.make_digest(0, False, 50, serial=2))
         self.assertEqual(self.balancer.count_load(_LEADER), 6)
 
-    def test_attempts_at_a_mended_replica_outlive_an_old_verdict(self):
+    def test_only_attempts_at_the_reported_epoch_are_aborted(self):
         """Guards against attempts aborted at a replica just repaired.
 
         Only the attempts at the epoch that the report names are aborted.
@@ -117,7 +117,7 @@
         exchange._receive(heartbeat)
         self.assertEqual(aborted, [f"{_LEADER}@3"])
 
-    def test_a_slow_replica_is_told_to_all(self):
+    def test_a_slow_replica_is_reported_to_all_nodes(self):
         exchange = self.make(0.1)
         self.balancer.note_slow = mock.Mock()
         heartbeat = self.make_heartbeat(5, RelayRequest.NONE, 0)
@@ -131,7 +131,7 @@
         (sent_heartbeat, _) = exchange._relay.list_datagrams.call_args.args
         self.assertEqual(sent_heartbeat.slow, ("i9@4",))
 
-    def test_a_doubt_goes_straight_to_the_holder(self):
+    def test_a_stall_is_reported_directly_to_the_prober(self):
         """Guards against probing a stalled replica half a second late."""
         exchange = self.make(0.1)
         exchange._duties.find_prober.return_value = ids.NodeId("n9")
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -124,7 +124,7 @@
         self.run_for(20.0)
         self.assertEqual(set(), list_dead(self.world))
 
-    def test_partition_heals_without_a_flood(self) -> None:
+    def test_healed_partition_causes_no_burst_of_messages(self) -> None:
         # Failure: a data centre is cut off for two minutes and its nodes
         # are declared dead, or the repair afterwards floods the network.
         self.world.cut = lambda a, b: (
--- a/tests/test_repair.py
+++ b/tests/test_repair.py
@@ -121,7 +121,7 @@
         )
         self.assertLess(estimate, 30.0)
 
-    def test_member_that_is_back_empty_is_not_waited_for(self) -> None:
+    def test_member_that_returned_without_its_model_is_replaced(self) -> None:
         # Failure: a process restarts and answers without its model, and no
         # instance is free. The replica stays down for good, because the
         # policy waits for a member that has already returned.
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -195,7 +195,7 @@
                 assert decision is not None
                 self.assertEqual(kind, decision.kind)
 
-    def test_call_under_way_is_not_run_beside_itself(self) -> None:
+    def test_retry_of_a_running_call_is_not_run(self) -> None:
         # Guards against a second run: the caller retries while the first
         # attempt is still running.
         key = self.make_key("e2")
@@ -511,7 +511,7 @@
         self.assertTrue(self.is_routed(small))
         self.assertFalse(self.is_routed(waiting[2]))
 
-    def test_worthier_kind_takes_the_place_of_a_lesser(self) -> None:
+    def test_heavier_request_displaces_a_lighter_queued_one(self) -> None:
         # The queue is full when a request of a higher weight comes. One
         # queued request is refused at once, with a retry-after.
         for _ in range(2):
@@ -525,7 +525,9 @@
         self.assertGreater(answer.retry_after, 0)
         self.assertNotIn(heavier, self.host.replies)
 
-    def test_request_given_up_on_is_told_at_once(self) -> None:
+    def test_request_that_cannot_meet_its_deadline_is_refused_early(
+        self,
+    ) -> None:
         # Guards against holding back a refusal to delay the caller's
         # retry: it must come as soon as the deadline cannot be met.
         for _ in range(2):
@@ -543,7 +545,9 @@
         self.assertTrue(refused_at)
         self.assertLess(refused_at[0] - started, 3.0)
 
-    def test_unknown_profile_leaves_nothing_behind(self) -> None:
+    def test_request_for_an_unknown_profile_does_not_stop_routing(
+        self,
+    ) -> None:
         # Guards against a queue for a profile that does not exist: the
         # next tick failed on it, all probing stopped, and a moment later
         # no replica could be used.
@@ -582,7 +586,7 @@
             loads[choose(loads, number)] += 1
         return max(loads.values())
 
-    def test_stays_near_perfect_knowledge(self) -> None:
+    def test_largest_load_is_near_that_of_exact_load_counts(self) -> None:
         # The load reports do not change meanwhile, as when they lag. The
         # naive router sends each request to the least loaded upstream.
         extra = "[service booth]\nconcurrency = 1000\n"
@@ -634,7 +638,7 @@
 
 
 class StaleLedgerTest(unittest.TestCase):
-    def test_lost_push_of_a_drain_stops_requests(self) -> None:
+    def test_replica_is_not_used_while_its_ledger_is_outdated(self) -> None:
         # Guards against requests to a draining replica: an entry loses
         # the push and still sees it as serving, with fresh evidence. The
         # evidence names a newer ledger, so the entry waits for that.
@@ -662,7 +666,7 @@
 
 
 class OwnFailureTest(unittest.TestCase):
-    def test_own_failed_connect_counts_until_a_newer_look(self) -> None:
+    def test_own_failed_connect_counts_until_a_newer_probe(self) -> None:
         # Guards against repeated failed connections: a replica's leader
         # refuses this entry's connection, while the observers' last
         # probe, a moment ago, succeeded.
