--- a/currantwall/coordination/replicas/repair.py
+++ b/currantwall/coordination/replicas/repair.py
@@ -159,11 +159,11 @@
 ) -> float:
     """Return the expected seconds of downtime if the replica waits.
 
-    The wait can be limited: if the domain has free instances or another
-    domain has room, the replica is repaired that way once a time limit
-    is reached. The limit with the least expected downtime is used. A
-    pause shorter than the limit needs no repair; if a member is dead,
-    the limit adds to the downtime.
+    The wait can have a timeout: if the domain has free instances or
+    another domain has room, the replica is repaired that way once the
+    timeout expires. The timeout with the least expected downtime is
+    used. A pause shorter than the timeout needs no repair; if a member
+    is dead, the timeout adds to the downtime.
     """
     times = [estimate_return_time(loss, settings) for loss in broken.losses]
     full_wait = max(times, default=0.0)
--- a/currantwall/coordination/requests/attempts.py
+++ b/currantwall/coordination/requests/attempts.py
@@ -120,7 +120,7 @@
     REFUSED = "refused"
     # The upstream's answer was lost.
     BAD_GATEWAY = "bad_gateway"
-    # The time limit passed, and the request may have run.
+    # The deadline passed, and the request may have run.
     TIMED_OUT = "timed_out"
 
 
@@ -188,7 +188,7 @@
 
     Args:
         progress: Its attempts.
-        in_time: Whether its time limit has not passed yet.
+        in_time: Whether its deadline has not passed yet.
     """
     if progress.runs == 0:
         return Ending.REFUSED
