--- a/currantwall/coordination/actions.py
+++ b/currantwall/coordination/actions.py
@@ -152,7 +152,7 @@
     """An order to one engine instance.
 
     Attributes:
-        epoch: Fencing number; an engine that checks it refuses an older
+        epoch: Fencing token; an engine that checks it refuses an older
             one than it has seen.
         lifetime: Seconds after which the engine must ignore the order.
     """
--- a/currantwall/coordination/messages.py
+++ b/currantwall/coordination/messages.py
@@ -141,7 +141,7 @@
     """Outcome of an order."""
 
     TAKEN = "taken"
-    # Refused by the engine for its fencing number.
+    # Refused by the engine for its fencing token.
     FENCED = "fenced"
     REFUSED = "refused"
     # Not sent, because its deadline had passed.
--- a/currantwall/coordination/replicas/controller.py
+++ b/currantwall/coordination/replicas/controller.py
@@ -5,7 +5,7 @@
 renews the lease and plans, stores the new ledger and the renewal in one
 conditional update, and sends orders only for what is stored. A candidate
 reads the ledger at intervals and takes an expired lease by raising its
-epoch, the fencing number.
+epoch, the fencing token.
 
 Each domain has at most one write in flight. After a write whose answer
 was lost the ledger is read back: the stored ledger is authoritative, and
@@ -171,7 +171,7 @@
             return [actions.Record(kinds.LEASE_LOST, self.name)]
         self._taken_at = now
         # Orders of a former holder may still be in transit to engines that
-        # ignore the fencing number. Wait until these orders have expired
+        # ignore the fencing token. Wait until these orders have expired
         # before sending the first one.
         settings = self._settings
         wait = 0.0 if settings.epoch_checked else settings.order_lifetime
--- a/currantwall/coordination/replicas/formation.py
+++ b/currantwall/coordination/replicas/formation.py
@@ -197,7 +197,7 @@
 
         Args:
             now: Monotonic time.
-            fence: Fencing number, which rises with each holder of the
+            fence: Fencing token, which rises with each holder of the
                 domain; the epochs of its joins start there.
             layout: Which models the domain's instances are meant for.
             demands: Demand and supply elsewhere, by model.
--- a/currantwall/state/domain.py
+++ b/currantwall/state/domain.py
@@ -95,7 +95,7 @@
 
     @property
     def epoch(self) -> ids.Epoch:
-        """Return the newest fencing number, 0 before the first lease."""
+        """Return the newest fencing token, 0 before the first lease."""
         return self.lease.epoch if self.lease else ids.Epoch(0)
 
     def get(self, replica_id: ids.ReplicaId) -> Replica | None:
--- a/currantwall/state/ids.py
+++ b/currantwall/state/ids.py
@@ -37,7 +37,7 @@
 ServiceName = typing.NewType("ServiceName", str)
 
 # Number of a lease of a fabric domain, incremented for each new holder; the
-# fencing number of orders.
+# fencing token of orders.
 Epoch = typing.NewType("Epoch", int)
 # Number of a replica's member set; a new set gets a higher one.
 Generation = typing.NewType("Generation", int)
--- a/currantwall/state/instances.py
+++ b/currantwall/state/instances.py
@@ -63,7 +63,7 @@
 
     Attributes:
         started: Start of the process; a restart changes it.
-        epoch: Highest fencing number accepted so far.
+        epoch: Highest fencing token accepted so far.
         running: Number of requests being answered.
         queued: Number of requests waiting inside the instance.
         draining: Whether the instance asks for no new requests.
--- a/currantwall/state/settings.py
+++ b/currantwall/state/settings.py
@@ -92,7 +92,7 @@
     """``[replicas]``: leases, observation, placement, orders.
 
     Attributes:
-        epoch_checked: Whether the engines refuse an old fencing number.
+        epoch_checked: Whether the engines refuse an old fencing token.
         evidence_ttl: Age after which evidence that a replica is whole no
             longer counts.
         load_time: Expected time to load a model on one instance.
--- a/currantwall/transport/domainleases.py
+++ b/currantwall/transport/domainleases.py
@@ -54,7 +54,7 @@
         # Revision of the stored lease; 0 if there is none, None if that is
         # not known yet.
         self.revision: int | None = None
-        # Fencing number; rises each time the lease is taken.
+        # Fencing token; rises each time the lease is taken.
         self.fence = 0
         # The last known holder, which may have lost the lease meanwhile.
         self.holder = ids.NodeId("")
--- a/currantwall/transport/duties.py
+++ b/currantwall/transport/duties.py
@@ -56,7 +56,7 @@
 _SETTLE_TIME = 1.2
 # Shortest time in seconds between two assignments of models to domains.
 _ASSIGN_INTERVAL = 1.0
-# Replica epochs reserved for each fencing number: more than the joins that
+# Replica epochs reserved for each fencing token: more than the joins that
 # one holder orders under it.
 _EPOCHS_PER_FENCE = 1000
 
@@ -76,7 +76,7 @@
         self.lease = lease
         self.planner = planner
         self.layout = layout_module.Layout("")
-        # Fencing number of the lease under which the planner's knowledge
+        # Fencing token of the lease under which the planner's knowledge
         # was gathered.
         self.fence = 0
         # Whether this node probes the instances.
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -262,7 +262,7 @@
     def test_order_is_not_sent_after_the_deadline(self) -> None:
         # Failure: a holder decides on an order, is paused, and the order
         # is sent when another node holds the lease. An engine that ignores
-        # the fencing number carries it out.
+        # the fencing token carries it out.
         tracker = leases.LeaseTracker(
             ids.NodeId("a"), ids.Incarnation(1), margin=1.0
         )
@@ -339,7 +339,7 @@
 class FencingTest(ReplicaCase):
     def test_engine_that_ignores_epochs_is_held_back(self) -> None:
         # Failure: a former holder's order reaches an engine that ignores
-        # the fencing number, and the engine leaves its replica. The
+        # the fencing token, and the engine leaves its replica. The
         # replica must not be used until the engine is back or replaced.
         self.start(make_world(checks_epoch=False))
         replica = next(r for r in self.list_serving() if "fa" in r.id)
@@ -364,7 +364,7 @@
 
     def test_checking_engine_refuses_an_old_epoch(self) -> None:
         # Failure: the same late order reaches an engine that checks the
-        # fencing number, and is carried out instead of refused.
+        # fencing token, and is carried out instead of refused.
         self.start()
         replica = next(r for r in self.list_serving() if "fa" in r.id)
         engine = self.engine(replica.members[1])
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -95,7 +95,7 @@
         # Failure: a booking that is requested again runs a second time,
         # at another entry or after the entry that keeps its key has died,
         # or a new one is refused while the platform is down. The engines
-        # ignore fencing numbers.
+        # ignore fencing tokens.
         domains = [
             sites.DomainSpec(
                 name="fa",
